--- a/crates/core/src/systems/homes/budget.rs
+++ b/crates/core/src/systems/homes/budget.rs
@@ -1,7 +1,7 @@
 //! Budget of program trees: tokens, turns and wall time.
 //!
-//! The row of the root holds what the whole tree uses, and sub-agents share
-//! the root's home, so concurrent ones cannot overdraw it.
+//! The row of the root counts the usage of the whole tree. Sub-agents have the
+//! same home as their root, so concurrent turns cannot exceed the budget.
 
 use super::super::Tick;
 use super::lifecycle;
@@ -9,7 +9,7 @@
 use crate::output::{Execution, OverReason, RefusalKind};
 use crate::tables::{Program, Turn};
 
-/// The limits of one program tree.
+/// Limits of one program tree, from the configuration of its client account.
 #[derive(Debug, Clone, Copy)]
 struct Limits {
     tokens: u64,
@@ -17,7 +17,7 @@
     wall_us: u64,
 }
 
-/// Returns the limits of the programs of an account.
+/// Returns the limits of a program tree; `None` if the client account is not configured.
 fn limits(tick: &Tick<'_>, key: &ProgramKey) -> Option<Limits> {
     let config = &tick.tables.accounts.get(&key.account)?.config;
     Some(Limits {
@@ -27,7 +27,7 @@
     })
 }
 
-/// Reserves the worst case of a turn from the budget of its tree.
+/// Reserves the most tokens that a turn can use from the budget of its tree.
 pub(super) fn reserve(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-/// Books a turn that this VM learned of after it had begun at another home.
+/// Counts a turn that began at a previous home.
 pub(super) fn adopt(tick: &mut Tick<'_>, key: &ProgramKey, reserved_tokens: u64) {
     if let Some(root) = tick.tables.programs.get_mut(&key.root()) {
         root.usage.reserved_tokens += reserved_tokens;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Books the end of a turn; one that did not run leaves no trace.
+/// Replaces the reservation of a turn by its usage; a turn that did not run is not counted.
 pub(super) fn settle(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Replaces what was booked for a turn of unknown outcome.
+/// Replaces the tokens booked for a turn of unknown outcome by its usage.
 pub(super) fn correct(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Returns for how long the wall time of a program tree still lasts.
+/// Returns the remaining wall time of a program tree.
 pub(super) fn wall_left_us(tick: &Tick<'_>, key: &ProgramKey) -> u64 {
     let (Some(limits), Some(root)) = (limits(tick, key), tick.tables.programs.get(&key.root()))
     else {
@@ -110,7 +110,7 @@
     end_us.saturating_sub(tick.now_us)
 }
 
-/// Closes a program tree whose budget is used up and that has no turn in progress.
+/// Closes a program tree if its budget is used up and no turn is in progress.
 pub(super) fn close_if_used_up(tick: &mut Tick<'_>, key: &ProgramKey) {
     let root_key = key.root();
     let Some(limits) = limits(tick, key) else {
--- a/crates/core/src/systems/homes/entry.rs
+++ b/crates/core/src/systems/homes/entry.rs
@@ -1,4 +1,4 @@
-//! The entry VM's side of the start of a turn.
+//! Start of a turn, on the entry VM.
 
 use super::super::{Tick, admission};
 use super::{HOME_WAIT_MS, MOVING_RETRY_MS, requests, retry_us, settles, witness};
@@ -7,17 +7,18 @@
 use crate::output::{Execution, Output, RefusalKind};
 use crate::tables::{Call, Stage, Timer};
 
-/// Longest time between two sends of a `Begin`.
+/// Longest delay between two sends of a `Begin`.
 const BEGIN_RETRY_MS: u64 = 1_000;
 
-/// Shortest time between two extensions of a validity.
+/// Shortest delay between two requests to extend a validity.
 ///
-/// Half of a validity that is about to end is no time at all, and a home on this VM answers at once.
+/// The delay is otherwise half of the remaining validity, which tends to zero as the validity
+/// ends; a home on this VM replies in the same tick, so requests would repeat without a pause.
 const MIN_EXTEND_US: u64 = 20_000;
 
-/// Asks the home to let a turn begin, or to extend the validity of its start.
+/// Asks the home to start a turn, or to extend the time in which it may be dispatched.
 ///
-/// Nothing is sent without a valid lease; the timer tries again.
+/// Without a valid lease nothing is sent until the retry timer expires.
 pub(super) fn begin(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let has_lease = tick.tables.lease.is_valid(now_us);
@@ -29,7 +30,7 @@
         call.home_give_up_us = now_us + HOME_WAIT_MS * 1_000;
     }
     let refusal = match call.stage {
-        // No home accepts turns of a VM that has left the fleet.
+        // Homes deny turns of VMs that are not members.
         Stage::Home if has_left => Some(RefusalKind::Draining),
         Stage::Home if now_us >= call.home_give_up_us => Some(RefusalKind::HomeMoving),
         _ => None,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Makes the request of a call that belongs to a program.
+/// Builds the `Begin` of a call; `None` if the call does not belong to a program.
 fn begin_for(call: &Call, now_us: u64) -> Option<Begin> {
     let turn = call.new.program.as_ref()?;
     Some(Begin {
@@ -75,7 +76,7 @@
     })
 }
 
-/// Plans when `Begin` is sent again; a later plan replaces an earlier one.
+/// Schedules the next send of `Begin`, replacing an earlier schedule.
 fn plan_retry(tick: &mut Tick<'_>, id: CallId, wait_us: u64) {
     let due_us = tick.now_us + wait_us;
     if let Some(call) = tick.tables.calls.get_mut(&id) {
@@ -84,7 +85,7 @@
     }
 }
 
-/// Sends `Begin` again if the call still needs it.
+/// Resends `Begin` if it is due and the call has not been dispatched.
 pub(super) fn retry(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let is_due = tick.tables.calls.get(&id).is_some_and(|call| {
@@ -95,10 +96,10 @@
     }
 }
 
-/// Moves a call on that may begin its turn.
+/// Handles a `Began`: records its validity and passes the call on to placement.
 ///
-/// While the call waits for an upstream, its validity is extended when half
-/// of it has passed.
+/// While the call waits for an upstream, an extension is requested each time
+/// half of the remaining validity has passed.
 pub(super) fn began(tick: &mut Tick<'_>, home: &VmName, began: Began) {
     let id = began.call;
     let lease_until_us = tick.tables.lease.until_us;
@@ -129,9 +130,10 @@
     }
 }
 
-/// Tells a home that this VM does not run a call that the home let begin.
+/// Tells a home that this VM does not know a call that the home has as a turn in progress.
 ///
-/// A call of an earlier process of this VM may have run.
+/// If the end of the call is not confirmed yet, it is reported again instead. A call from
+/// before the restart of this VM may have run.
 fn disown(tick: &mut Tick<'_>, home: &VmName, call: CallId, program: ProgramKey) {
     if tick.tables.homes.settles.contains_key(&call) {
         settles::send(tick, call);
@@ -145,14 +147,14 @@
     tick.send(home, HomesMessage::Gone { call, program, ran });
 }
 
-/// Answers the question of a home after a turn in progress.
+/// Handles a probe by the home; a call that is in progress needs no reply.
 pub(super) fn probed(tick: &mut Tick<'_>, home: &VmName, call: CallId, program: ProgramKey) {
     if !tick.tables.calls.contains_key(&call) {
         disown(tick, home, call, program);
     }
 }
 
-/// Notes that the home lives and the call waits for its turn.
+/// Handles a `Pending`: the home is alive, so the wait for its decision is extended.
 pub(super) fn pending(tick: &mut Tick<'_>, id: CallId) {
     let give_up_us = tick.now_us + HOME_WAIT_MS * 1_000;
     if let Some(call) = tick.tables.calls.get_mut(&id)
@@ -162,7 +164,7 @@
     }
 }
 
-/// Refuses a call that may not begin its turn; one whose home moves waits.
+/// Handles a `Denied`: refuses the call, or retries while its program changes its home.
 pub(super) fn denied(tick: &mut Tick<'_>, denied: Denied) {
     let now_us = tick.now_us;
     let Some(call) = tick.tables.calls.get_mut(&denied.call) else {
@@ -179,7 +181,7 @@
         return;
     }
     if !call.may_have_run {
-        // The home holds no turn for the call, so there is none to settle.
+        // The home has no turn in progress for the call, so its end need not be reported.
         call.has_asked_home = false;
     }
     let Denied {
@@ -191,7 +193,7 @@
     admission::refuse(tick, call, kind, ran, retry_after_ms);
 }
 
-/// Answers a resent call with a kept response.
+/// Answers a resent call with the stored response.
 pub(super) fn kept(tick: &mut Tick<'_>, replay: Output, id: CallId) {
     let call = tick.tables.calls.get(&id);
     if call.is_some_and(|call| call.stage == Stage::Home) {
--- a/crates/core/src/systems/homes/home.rs
+++ b/crates/core/src/systems/homes/home.rs
@@ -1,4 +1,4 @@
-//! The home's side of a turn.
+//! Handling of turns on the home: start, probe, end and loss of the entry VM.
 
 use super::super::Tick;
 use super::order::{self, Verdict};
@@ -10,7 +10,7 @@
 use crate::output::{Decision, Execution, RefusalKind, TakeoverSource};
 use crate::tables::{FinishedTurn, Phase, Program, Timer, Turn, UnknownTurn};
 
-/// Lets a turn begin, lets it wait or refuses it.
+/// Handles a `Begin`: starts the turn, queues it or denies it.
 pub(super) fn begin(tick: &mut Tick<'_>, vm: &VmName, begin: Box<Begin>) {
     let key = &begin.program;
     let not_run = Execution::NotRun;
@@ -19,7 +19,8 @@
         return deny(tick, vm, &begin, kind, not_run, Some(retry_after_ms));
     }
     if !takeover::is_member(tick, vm, begin.call.incarnation) {
-        // The end of such an entry VM would not show in a later view.
+        // The loss of a VM that is not a member changes no view, so its turn would not be
+        // marked as unknown.
         let (kind, retry_after_ms) = (RefusalKind::HomeMoving, Some(MOVING_RETRY_MS));
         return deny(tick, vm, &begin, kind, not_run, retry_after_ms);
     }
@@ -36,7 +37,7 @@
     carry_out(tick, vm, begin);
 }
 
-/// Carries out what the order of the program says about a call.
+/// Applies the decision for a call that asks for its turn.
 fn carry_out(tick: &mut Tick<'_>, vm: &VmName, begin: Box<Begin>) {
     let Some(program) = tick.tables.programs.get(&begin.program) else {
         return;
@@ -54,7 +55,7 @@
     }
 }
 
-/// Tells the entry VM of a resend where the response is kept.
+/// Tells the entry VM of a resent call which VM still has the response.
 fn reply_kept(tick: &mut Tick<'_>, vm: &VmName, begin: &Begin, keeper: VmName, original: CallId) {
     let key = &begin.program;
     let Some(state) = tree::state_of(tick, key) else {
@@ -71,7 +72,7 @@
     tick.send(vm, kept);
 }
 
-/// Refuses a turn.
+/// Denies a turn and logs why.
 pub(super) fn deny(
     tick: &mut Tick<'_>,
     vm: &VmName,
@@ -96,7 +97,7 @@
     tick.send(vm, HomesMessage::Denied(denied));
 }
 
-/// Reserves the tokens of a turn and lets it begin.
+/// Starts a turn if its tokens can be reserved, and denies it otherwise.
 fn start(tick: &mut Tick<'_>, vm: &VmName, begin: &Begin) {
     let key = &begin.program;
     if let Err(kind) = budget::reserve(tick, key, begin.reserve_tokens) {
@@ -132,7 +133,7 @@
     reply_began(tick, vm, begin);
 }
 
-/// Tells the entry VM that the turn may run, and for how long it may start.
+/// Tells the entry VM that the turn has begun and until when it may be dispatched.
 fn reply_began(tick: &mut Tick<'_>, vm: &VmName, begin: &Begin) {
     let Some(state) = tree::state_of(tick, &begin.program) else {
         return;
@@ -147,13 +148,13 @@
     tick.send(vm, HomesMessage::Began(Box::new(began)));
 }
 
-/// Plans a question after a turn that has just begun.
+/// Schedules the next probe of a turn in progress.
 fn plan_probe(tick: &mut Tick<'_>, key: ProgramKey, call: CallId) {
     let due_us = tick.now_us + PROBE_MS * 1_000;
     tick.tables.timers.set(due_us, Timer::TurnProbe(key, call));
 }
 
-/// Asks the entry VM after a turn that has been in progress for long.
+/// Asks the entry VM whether it still runs the turn in progress, and schedules the next probe.
 pub(super) fn probe(tick: &mut Tick<'_>, key: ProgramKey, call: CallId) {
     let program = tick.tables.programs.get(&key);
     let turn = program.and_then(|program| program.current.as_ref());
@@ -168,16 +169,16 @@
     plan_probe(tick, key, call);
 }
 
-/// Ends a turn that its entry VM does not know.
+/// Ends the turn in progress if its entry VM reports that it does not know the call.
 pub(super) fn gone(tick: &mut Tick<'_>, call: CallId, key: &ProgramKey, ran: Execution) {
     if takeover::check_home(tick, key).is_ok() && is_current(tick, key, call) {
         end(tick, key, ran, None, None, &[]);
     }
 }
 
-/// Handles the end of a turn that its entry VM reports.
+/// Handles the end of a turn as reported by its entry VM.
 ///
-/// Without authority there is no reply, and the entry VM tries again.
+/// If this VM may not act as home, it sends no reply and the entry VM retries.
 pub(super) fn settle(tick: &mut Tick<'_>, vm: &VmName, settle: &Settle) {
     let key = &settle.state.program;
     if takeover::check_home(tick, key).is_err() {
@@ -204,13 +205,13 @@
     reply_settled(tick, vm, settle);
 }
 
-/// Returns whether a call is the turn in progress.
+/// Returns whether a call runs the turn in progress.
 fn is_current(tick: &Tick<'_>, key: &ProgramKey, call: CallId) -> bool {
     let program = tick.tables.programs.get(key);
     program.is_some_and(|p| p.current.as_ref().is_some_and(|turn| turn.call == call))
 }
 
-/// Returns whether a call is the last turn and its outcome is unknown.
+/// Returns whether no turn is in progress and a call ran the last one, with unknown outcome.
 fn is_unknown(tick: &Tick<'_>, key: &ProgramKey, call: CallId) -> bool {
     let program = tick.tables.programs.get(key);
     program.is_some_and(|p| {
@@ -218,7 +219,7 @@
     })
 }
 
-/// Takes over a turn that began at an old home and ended before its witness arrived.
+/// Adopts a turn that began at a previous home and ended before its witness arrived.
 fn adopt_settled(tick: &mut Tick<'_>, vm: &VmName, settle: &Settle) {
     let key = &settle.state.program;
     let source = TakeoverSource::Settle;
@@ -232,7 +233,7 @@
     adopt_turn(tick, key, vm, settle.state.generation, &settle.turn);
 }
 
-/// Takes over a turn in progress of a rebuilt program.
+/// Adopts the turn in progress of a rebuilt program.
 pub(super) fn adopt_turn(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
@@ -263,7 +264,7 @@
     plan_probe(tick, key.clone(), running.call);
 }
 
-/// Ends the turn in progress; without a report the worst case is booked.
+/// Ends the turn in progress; without `used_tokens` all reserved tokens count as spent.
 pub(super) fn end(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
@@ -310,7 +311,7 @@
     after_end(tick, key);
 }
 
-/// Lets the program go on after the end of a turn.
+/// Updates lease, phase and waiting calls of a program after the end of a turn.
 fn after_end(tick: &mut Tick<'_>, key: &ProgramKey) {
     tree::renew(tick, key);
     let program = tick.tables.programs.get(key);
@@ -322,7 +323,7 @@
     waits::recheck(tick, key);
 }
 
-/// Books the outcome of a turn that had counted as unknown.
+/// Records the outcome of a turn that was unknown until now.
 fn resolve(tick: &mut Tick<'_>, vm: &VmName, settle: &Settle) {
     if settle.ran == Execution::MayHaveRun {
         return;
@@ -349,7 +350,7 @@
     after_end(tick, key);
 }
 
-/// Confirms the end of a turn; one that ran gets the state for the next turn.
+/// Confirms the end of a turn; if it ran, with the continuation and permit for the next turn.
 fn reply_settled(tick: &mut Tick<'_>, vm: &VmName, settle: &Settle) {
     let key = &settle.state.program;
     let is_last = |program: &Program| {
@@ -358,7 +359,7 @@
     };
     let state = match tick.tables.programs.get(key) {
         Some(program) => tree::state_of(tick, key).filter(|_| is_last(program)),
-        // The turn was the last one of a program that had been ended meanwhile.
+        // The program ended while its last turn was in progress.
         None => {
             let tombstone = tick.tables.homes.over.get(key);
             let tombstone = tombstone.filter(|tombstone| is_last(&tombstone.row));
@@ -377,7 +378,7 @@
     tick.send(vm, settled);
 }
 
-/// Looks after the turn in progress of a program that was handed over.
+/// Schedules probes for the turn in progress of a program that was handed over.
 pub(super) fn resume_turn(tick: &mut Tick<'_>, key: &ProgramKey) {
     let program = tick.tables.programs.get(key);
     let Some(turn) = program.and_then(|program| program.current.as_ref()) else {
--- a/crates/core/src/systems/homes/lifecycle.rs
+++ b/crates/core/src/systems/homes/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The end of programs: by their caller, by their lease and by their budget.
+//! End of programs: at the request of the caller, on lease expiry or when the budget is used up.
 
 use super::super::Tick;
 use super::{budget, order, release, takeover, tree, waits};
@@ -7,13 +7,13 @@
 use crate::output::{Decision, Execution, OverReason, RefusalKind};
 use crate::tables::{Phase, Timer, Tombstone};
 
-/// How long a request to end a program is remembered.
+/// How long a handled request to end a program is remembered.
 ///
-/// A delayed copy of it must not end a new program with the same name; the
-/// entry VM stops repeating it long before.
+/// A delayed duplicate must not end a new program with the same name. The entry
+/// VM stops resending long before this.
 const ENDED_KEEP_MS: u64 = 60_000;
 
-/// Ends a program at the request of its caller.
+/// Handles the request of a caller to end a program.
 pub(super) fn end(
     tick: &mut Tick<'_>,
     vm: &VmName,
@@ -44,7 +44,7 @@
 
 /// Closes a program and its sub-agents and releases their engine memory.
 ///
-/// Turns in progress go on; the rows of their programs stay until they end.
+/// Turns in progress are not interrupted; the rows of their programs stay until they end.
 pub(super) fn over(tick: &mut Tick<'_>, key: &ProgramKey, reason: OverReason) {
     for key in tree::subtree(tick, key) {
         let Some(program) = tick.tables.programs.get_mut(&key) else {
@@ -61,7 +61,7 @@
             reason,
         });
         match reason {
-            // The row stays, so that later calls learn why they are refused.
+            // The row stays so that later calls are denied with the right reason.
             OverReason::Exhausted => release::release_all(tick, &key),
             _ => finish_ended(tick, &key),
         }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Removes the row of an ended program once nothing needs it.
+/// Removes the row of an ended program unless it has a turn in progress or sub-agents.
 pub(super) fn finish_ended(tick: &mut Tick<'_>, key: &ProgramKey) {
     let is_needed = tick
         .tables
@@ -90,7 +90,7 @@
     }
 }
 
-/// Keeps the last state of a program that is over for the time of a lease.
+/// Stores the last state of a program that is over for the length of a lease.
 fn bury(tick: &mut Tick<'_>, key: &ProgramKey) {
     let until_us = tick.now_us + tick.settings.program_lease_ms * 1_000;
     let row = tick.tables.programs.get(key).cloned();
@@ -106,13 +106,13 @@
     }
 }
 
-/// Returns whether a generation of a program is over.
+/// Returns whether a generation of a program is known to be over.
 pub(super) fn is_over(tick: &Tick<'_>, key: &ProgramKey, generation: u64) -> bool {
     let tombstone = tick.tables.homes.over.get(key);
     tombstone.is_some_and(|tombstone| tombstone.state.generation == generation)
 }
 
-/// Returns what is known about earlier runs of a request of a program without a row.
+/// Returns whether a request may have run before, for a program without a row.
 pub(super) fn earlier_run(tick: &Tick<'_>, begin: &Begin) -> Execution {
     let tombstone = tick.tables.homes.over.get(&begin.program);
     match (tombstone, &begin.permit) {
@@ -122,7 +122,7 @@
     }
 }
 
-/// Forgets the last state of a program that is over.
+/// Removes the tombstone of a program once it has expired.
 pub(super) fn forget(tick: &mut Tick<'_>, key: &ProgramKey) {
     let over = &mut tick.tables.homes.over;
     if over.get(key).is_some_and(|row| row.until_us <= tick.now_us) {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Ends a program that has had no calls for the time of its lease, or no time left.
+/// Closes a program whose lease has expired or whose wall time is used up.
 pub(super) fn lapse(tick: &mut Tick<'_>, key: &ProgramKey) {
     let Some(program) = tick.tables.programs.get(key) else {
         return;
@@ -146,7 +146,7 @@
     plan_lapse(tick, key);
 }
 
-/// Plans the next look at the lease of a program.
+/// Schedules the next check of the lease and the wall time of a program.
 fn plan_lapse(tick: &mut Tick<'_>, key: &ProgramKey) {
     let Some(program) = tick.tables.programs.get(key) else {
         return;
@@ -166,7 +166,7 @@
     tick.tables.timers.set(due_us, timer);
 }
 
-/// Removes a row that only a refused call had made.
+/// Removes a row that was created for a call that was then denied.
 pub(super) fn drop_unused(tick: &mut Tick<'_>, key: &ProgramKey) {
     let program = tick.tables.programs.get(key);
     if program.is_some_and(|program| program.links.previous.is_none() && program.is_unused()) {
--- a/crates/core/src/systems/homes/mod.rs
+++ b/crates/core/src/systems/homes/mod.rs
@@ -1,10 +1,14 @@
-//! Programs: order, history, budget, permits, sub-agents and engine memory.
+//! Program state: turn order, history, budget, permits, sub-agents and engine memory.
 //!
-//! A VM plays two parts. As entry VM of a call it asks the program's home to
-//! let the turn begin and reports its end (`entry`, `settles`, `requests`,
-//! `witness`). As home of a program it keeps the program's row (`home`,
-//! `order`, `budget`, `permits`, `waits`, `tree`, `lifecycle`, `release`).
-//! `takeover` moves programs between homes when the view changes.
+//! Each program has one home, the VM that owns its row. A VM has two roles here:
+//!
+//! - As entry VM of a call, it asks the home to start the turn and reports the
+//!   end of the turn (`entry`, `settles`, `requests`, `witness`).
+//! - As home of a program, it stores the row and decides about turns (`home`,
+//!   `order`, `budget`, `permits`, `waits`, `tree`, `lifecycle`, `release`).
+//!
+//! When the view changes, `takeover` moves rows to their new homes, `resume`
+//! rebuilds rows that were lost, and `transfers` retries the messages.
 
 mod budget;
 mod entry;
@@ -31,21 +35,21 @@
 use crate::output::Output;
 use crate::tables::{Release, Timer};
 
-/// How long an entry VM waits for the home of a program.
+/// How long an entry VM waits for a program's home to reply.
 ///
-/// Covers the loss of a home: suspicion, the write of the view and the
-/// takeover wait take about 6 s with the default settings.
+/// Long enough to survive the loss of a home: suspicion, the write of the new
+/// view and the takeover wait take about 6 s with the default settings.
 const HOME_WAIT_MS: u64 = 10_000;
 
-/// Interval at which a home asks after a turn in progress.
+/// Interval at which a home probes the entry VM of a turn in progress.
 ///
-/// Only matters when a reply was lost and the entry VM has forgotten the call.
+/// Only needed when a reply was lost and the entry VM no longer knows the call.
 const PROBE_MS: u64 = 5_000;
 
-/// Time after which a home tells a caller to try again while programs move.
+/// Retry delay given to callers while a program changes its home.
 const MOVING_RETRY_MS: u64 = 500;
 
-/// What waits for this system.
+/// Inputs queued for the next run of this system.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub calls: Vec<CallId>,
@@ -65,7 +69,7 @@
     }
 }
 
-/// Runs the system.
+/// Processes a change of the view, then all queued work.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     takeover::follow_view(tick);
     let work = std::mem::take(&mut tick.work.homes);
@@ -86,7 +90,7 @@
     }
 }
 
-/// Handles a message of an entry VM or of a home.
+/// Dispatches a message from an entry VM or a home to its handler.
 fn handle(tick: &mut Tick<'_>, sender: &Sender, message: HomesMessage) {
     match message {
         HomesMessage::Begin(begin) => home::begin(tick, &sender.vm, begin),
@@ -136,7 +140,7 @@
     }
 }
 
-/// Handles a due timer.
+/// Dispatches an expired timer to its handler.
 fn handle_due(tick: &mut Tick<'_>, timer: Timer) {
     match timer {
         Timer::TurnRetry(call) => entry::retry(tick, call),
@@ -156,7 +160,7 @@
     }
 }
 
-/// Returns the time until the next try: doubles from 200 ms up to a limit.
+/// Returns the delay before the next attempt: 200 ms, doubled each time up to `limit_ms`.
 fn retry_us(tries: u32, limit_ms: u64) -> u64 {
     let wait_ms = 100u64 << tries.clamp(1, 10);
     wait_ms.min(limit_ms) * 1_000
--- a/crates/core/src/systems/homes/order.rs
+++ b/crates/core/src/systems/homes/order.rs
@@ -1,4 +1,4 @@
-//! Decides whether a turn may begin.
+//! Turn order: decides whether a call may begin its turn.
 
 use super::super::Tick;
 use super::permits;
@@ -7,24 +7,24 @@
 use crate::output::{Execution, RefusalKind};
 use crate::tables::{FinishedTurn, Phase, Program};
 
-/// What happens to a call that asks for its turn.
+/// The response of a home to a `Begin`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Verdict {
     /// The turn begins.
     Start,
-    /// The turn has begun for this very call.
+    /// This call already runs the turn; the reply is repeated.
     Again,
-    /// The call waits for turns before it.
+    /// The call waits for earlier turns.
     Wait,
     /// The call is a resend of the turn in progress and waits for its end.
     Attach,
-    /// The call is a resend of the last turn, whose response is kept.
+    /// The call is a resend of the last turn, whose response is still stored on `vm`.
     Kept { vm: VmName, original: CallId },
-    /// The call is refused.
+    /// The call is denied, with what is known about earlier runs.
     Deny(RefusalKind, Execution),
 }
 
-/// Decides what happens to a call that asks for its turn.
+/// Decides about a call that asks for its turn.
 pub(super) fn judge(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Verdict {
     let ran = earlier_run(tick, program, begin);
     if let Some(current) = &program.current
@@ -61,7 +61,7 @@
     }
 }
 
-/// Decides about a turn that has finished.
+/// Decides about a call for a turn that has finished.
 fn judge_finished(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Verdict {
     let kind = RefusalKind::DuplicateTurn;
     if begin.turn < program.turn {
@@ -82,7 +82,7 @@
     Verdict::Deny(kind, Execution::Ran)
 }
 
-/// Returns whether the entry VM of a finished turn still keeps its response.
+/// Returns whether the entry VM of a finished turn still has the response.
 fn is_kept(tick: &Tick<'_>, last: &FinishedTurn) -> bool {
     let kept_until_us = last.ended_us + tick.settings.answer_keep_ms * 1_000;
     let member = tick.tables.view.member(&last.vm);
@@ -90,7 +90,7 @@
         && member.is_some_and(|member| member.incarnation == last.call.incarnation)
 }
 
-/// Decides about the turn that follows the last finished one.
+/// Decides about a call for the turn that follows the last finished one.
 fn judge_next(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Verdict {
     let ran = earlier_run(tick, program, begin);
     if let Err(kind) = check_continuation(program, begin) {
@@ -106,10 +106,10 @@
     Verdict::Start
 }
 
-/// Checks that the caller continues the history that the home knows.
+/// Checks that the continuation of a call matches the program's turn and history.
 ///
-/// A plain call has no messages, so the home's own row is enough for it,
-/// unless the row was rebuilt after the loss of another home.
+/// A call without a model has no messages and needs no continuation, unless the
+/// row was rebuilt after the loss of a previous home and may lack turns.
 fn check_continuation(program: &Program, begin: &Begin) -> Result<(), RefusalKind> {
     let Some(carried) = &begin.continuation else {
         let has_messages = begin.pool.model.is_some();
@@ -129,11 +129,12 @@
     Ok(())
 }
 
-/// Returns what is known about earlier runs of a request that does not run now.
+/// Returns whether a request that does not run now may have run before.
 ///
-/// A request that may be repeated is judged by this call alone. One with a
-/// permit may be a resend: "not run" needs a permit whose every use is known
-/// here and a turn that neither finished nor has an unknown outcome.
+/// A request without a permit may be repeated, so only this call counts. One
+/// with a permit may be a resend: it is reported as not run only if every use
+/// of the permit would be known here, and its turn is not in progress, has not
+/// finished and does not have an unknown outcome.
 pub(super) fn earlier_run(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Execution {
     let Some(permit) = &begin.permit else {
         return Execution::NotRun;
--- a/crates/core/src/systems/homes/permits.rs
+++ b/crates/core/src/systems/homes/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for requests that may not be repeated.
+//! Permits, which let a request that may not be repeated run at most once.
 
 use super::super::Tick;
 use super::{resume, takeover};
@@ -10,8 +10,8 @@
 
 /// Issues a permit for a turn.
 ///
-/// A permit is used up by its turn: while the turn runs a resend waits, and
-/// once it has finished or its outcome is unknown no permit lets it begin.
+/// The turn consumes its permit: resends wait while it is in progress, and once
+/// it has finished or its outcome is unknown, no permit can start it again.
 pub(super) fn issue(tick: &mut Tick<'_>, key: &ProgramKey, turn: u32) -> Option<Permit> {
     let program = tick.tables.programs.get_mut(key)?;
     let homes = &mut tick.tables.homes;
@@ -28,7 +28,7 @@
     })
 }
 
-/// Returns whether a call carries a permit of this home for its turn.
+/// Returns whether a call carries a permit for its turn that was issued from this row.
 pub(super) fn is_valid(tick: &Tick<'_>, program: &Program, begin: &Begin) -> bool {
     begin.permit.as_ref().is_some_and(|permit| {
         permit.program == begin.program
@@ -38,7 +38,7 @@
     })
 }
 
-/// Returns whether a permit was issued from the row of its program.
+/// Returns whether a permit was issued from this row.
 pub(super) fn is_own(tick: &Tick<'_>, program: &Program, permit: &Permit) -> bool {
     permit.home == tick.settings.vm
         && permit.incarnation == tick.settings.incarnation
@@ -46,7 +46,7 @@
         && permit.seq <= program.last_permit
 }
 
-/// Answers a request for a permit.
+/// Handles a request for a permit.
 pub(super) fn request(tick: &mut Tick<'_>, vm: &VmName, request: &PermitRequest) {
     let reply = match try_issue(tick, request) {
         Ok(permit) => HomesMessage::PermitIs {
@@ -63,7 +63,11 @@
     tick.send(vm, reply);
 }
 
-/// Issues a permit for a turn that is still to come.
+/// Issues a permit for a turn that has not begun.
+///
+/// # Errors
+///
+/// Returns why no permit is issued and whether the turn may have run.
 fn try_issue(
     tick: &mut Tick<'_>,
     request: &PermitRequest,
--- a/crates/core/src/systems/homes/release.rs
+++ b/crates/core/src/systems/homes/release.rs
@@ -1,4 +1,4 @@
-//! Release of the engine memory of programs.
+//! Release of the memory that engines hold for programs.
 
 use super::super::Tick;
 use super::retry_us;
@@ -6,12 +6,12 @@
 use crate::output::{Decision, Output};
 use crate::tables::{MAX_SERVED, Release, Timer};
 
-/// Longest time between two sends of a release.
+/// Longest delay between two sends of a release.
 const RELEASE_RETRY_MS: u64 = 30_000;
 
-/// Remembers upstreams that may hold memory of a program.
+/// Records upstreams that may hold memory of a program.
 ///
-/// One too many replaces the oldest, whose memory is released.
+/// Above `MAX_SERVED` upstreams, the memory at the oldest one is released.
 pub(super) fn note(tick: &mut Tick<'_>, key: &ProgramKey, upstreams: &[UpstreamName]) {
     for upstream in upstreams {
         let Some(program) = tick.tables.programs.get_mut(key) else {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Remembers a pool in which an unknown upstream may hold memory of a program.
+/// Records a pool in which an unknown upstream may hold memory of a program.
 pub(super) fn note_pool(tick: &mut Tick<'_>, key: &ProgramKey, pool: PoolKey) {
     if let Some(program) = tick.tables.programs.get_mut(key)
         && !program.unknown_pools.contains(&pool)
@@ -39,6 +39,8 @@
 }
 
 /// Releases all engine memory of a program.
+///
+/// This covers each upstream of the pools in which the upstream is unknown.
 pub(super) fn release_all(tick: &mut Tick<'_>, key: &ProgramKey) {
     let Some(program) = tick.tables.programs.get_mut(key) else {
         return;
@@ -56,7 +58,7 @@
     }
 }
 
-/// Releases the memory of one generation of a program at one upstream.
+/// Starts the release of the memory of one generation of a program at one upstream.
 pub(super) fn release(
     tick: &mut Tick<'_>,
     upstream: UpstreamName,
@@ -77,7 +79,7 @@
     send(tick, release);
 }
 
-/// Sends a release until it is confirmed or the upstream is no longer configured.
+/// Sends a release and schedules the next attempt; drops it if the upstream is not configured.
 pub(super) fn send(tick: &mut Tick<'_>, release: Release) {
     if !tick.tables.upstreams.contains_key(&release.upstream) {
         tick.tables.homes.releases.remove(&release);
--- a/crates/core/src/systems/homes/requests.rs
+++ b/crates/core/src/systems/homes/requests.rs
@@ -1,4 +1,4 @@
-//! The entry VM's side of requests for permits and of ends of programs.
+//! Requests of callers for a permit or the end of a program, on the entry VM.
 
 use super::super::{Tick, admission};
 use super::{HOME_WAIT_MS, MOVING_RETRY_MS, retry_us, witness};
@@ -8,10 +8,10 @@
 use crate::output::{Execution, Output, RefusalKind};
 use crate::tables::{ProgramAsk, Timer};
 
-/// Longest time between two sends of a request.
+/// Longest delay between two sends of a request.
 const REQUEST_RETRY_MS: u64 = 1_000;
 
-/// Checks the key of a request and sends it to the home.
+/// Authenticates a request and sends it to the home.
 pub(super) fn arrive(tick: &mut Tick<'_>, request: ProgramRequest) {
     let id = request.id;
     let account = match admission::find_account(tick, request.key.as_ref(), false) {
@@ -48,7 +48,7 @@
     send(tick, id);
 }
 
-/// Sends a request to the present home and plans the next try.
+/// Sends a request to the current home and schedules the next attempt.
 pub(super) fn send(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let Some(pending) = tick.tables.homes.requests.get_mut(&id) else {
@@ -70,14 +70,14 @@
     }
 }
 
-/// Hands a permit to its caller.
+/// Handles a permit issued by the home.
 pub(super) fn permit_is(tick: &mut Tick<'_>, request: CallId, permit: Box<Permit>) {
     if tick.tables.homes.requests.remove(&request).is_some() {
         tick.outputs.push(Output::PermitIssued { request, permit });
     }
 }
 
-/// Confirms the end of a program to its caller.
+/// Handles the confirmation that a program has ended.
 pub(super) fn ended(tick: &mut Tick<'_>, request: CallId) {
     let Some(pending) = tick.tables.homes.requests.remove(&request) else {
         return;
@@ -86,7 +86,8 @@
     tick.outputs.push(Output::ProgramEnded { request });
 }
 
-/// Refuses a request; one whose home moves waits for the next try.
+/// Handles a `Denied`: refuses the request, or leaves it to the next attempt while its program
+/// changes its home.
 pub(super) fn denied(tick: &mut Tick<'_>, denied: Denied) {
     if denied.kind == RefusalKind::HomeMoving {
         return;
@@ -102,7 +103,7 @@
     }
 }
 
-/// Refuses a request, which never runs anything.
+/// Refuses a request; requests are always reported as not run.
 fn refuse(tick: &mut Tick<'_>, id: CallId, kind: RefusalKind, retry_after_ms: Option<u64>) {
     admission::report(tick, id, kind, Execution::NotRun, retry_after_ms);
 }
--- a/crates/core/src/systems/homes/resume.rs
+++ b/crates/core/src/systems/homes/resume.rs
@@ -1,4 +1,4 @@
-//! Rebuilds the rows of programs from what callers and entry VMs carry.
+//! Rebuilds program rows from the continuations of callers and the witnesses of entry VMs.
 
 use super::super::Tick;
 use super::{lifecycle, takeover, tree};
@@ -6,10 +6,10 @@
 use crate::input::Continuation;
 use crate::output::{Decision, RefusalKind, TakeoverSource};
 
-/// Makes sure that the row of a program exists and is as new as a continuation.
+/// Ensures that the row of a program exists and is at least as new as a continuation.
 ///
-/// A continuation that this VM signed as the only home since then, for a
-/// program that it no longer has, belongs to a program that is over.
+/// If this VM has been the only home since the epoch of the continuation and has
+/// no row, the program is over.
 pub(super) fn resume(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// Makes the row of a program from a state that its old home had told.
+/// Rebuilds the row of a program from a state issued by a previous home.
 pub(super) fn rebuild(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
@@ -50,13 +50,13 @@
 ) {
     let mut row = tree::new_row(tick, key);
     row.is_recovered = true;
-    // Permits of this epoch may have been used with a row that was here before.
+    // Permits of this epoch may have been used with an earlier row on this VM.
     row.known_from = tick.tables.view.epoch.next();
     tree::insert(tick, key, row);
     forward(tick, key, state, source);
 }
 
-/// Moves a rebuilt row on to a newer state.
+/// Advances a rebuilt row to a newer state.
 pub(super) fn forward(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
@@ -85,7 +85,7 @@
     });
 }
 
-/// Raises what the tree is known to have used.
+/// Raises the recorded usage and age of a program tree to those of a state.
 pub(super) fn raise_usage(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
--- a/crates/core/src/systems/homes/settles.rs
+++ b/crates/core/src/systems/homes/settles.rs
@@ -1,4 +1,4 @@
-//! The entry VM's side of the end of a turn.
+//! Reporting of the end of a turn, on the entry VM.
 
 use super::super::{Tick, outcomes};
 use super::{HOME_WAIT_MS, retry_us, witness};
@@ -9,12 +9,10 @@
 use crate::tables::{Call, PendingSettle, Stage, Timer};
 use smallvec::SmallVec;
 
-/// Longest time between two sends of a `Settle`.
+/// Longest delay between two sends of a `Settle`.
 const SETTLE_RETRY_MS: u64 = 2_000;
 
-/// Reports the end of a turn to the home until the home confirms it.
-///
-/// A plain call has no messages and leaves the history as it is.
+/// Reports the end of a turn to the home and repeats the report until it is confirmed.
 pub(crate) fn end_turn(
     tick: &mut Tick<'_>,
     call: &Call,
@@ -36,7 +34,7 @@
         turn,
         ran,
         used_tokens,
-        // A plain call has no messages and leaves the history as it is.
+        // A call without a model has no messages, so it does not change the history.
         history: history.filter(|_| call.pool.model.is_some()),
         upstreams,
     };
@@ -49,7 +47,7 @@
     send(tick, call.new.id);
 }
 
-/// Returns the turn of a call as the home has to know it.
+/// Returns the turn of a call as it is reported to a home; `None` outside of a program.
 pub(super) fn running_turn(call: &Call) -> Option<RunningTurn> {
     Some(RunningTurn {
         call: call.new.id,
@@ -61,7 +59,7 @@
     })
 }
 
-/// Returns the engines that may hold memory of the call's program.
+/// Returns the engines that may hold memory of the program because of this call.
 pub(super) fn upstreams_of(call: &Call) -> SmallVec<[UpstreamName; 4]> {
     if call.pool.model.is_none() {
         return SmallVec::new();
@@ -69,7 +67,9 @@
     call.avoid.iter().chain(&call.upstream).cloned().collect()
 }
 
-/// Returns the state before the turn; a call that never began has only what its caller carried.
+/// Returns the program state before the turn.
+///
+/// A turn that never began has only the continuation sent by its caller, if any.
 fn state_before(call: &Call, program: ProgramKey) -> Continuation {
     if let Some(state) = &call.state {
         return (**state).clone();
@@ -89,7 +89,7 @@
     }
 }
 
-/// Sends a report to the present home and plans the next try.
+/// Sends a `Settle` to the current home and schedules the next attempt.
 pub(super) fn send(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let Some(pending) = tick.tables.homes.settles.get_mut(&id) else {
@@ -111,12 +111,12 @@
         tick.send(&home, HomesMessage::Settle(settle));
     }
     if has_waited {
-        // The response is complete; the caller gets it without a continuation.
+        // The response is complete, so the caller need not wait any longer; it gets no continuation.
         answer(tick, id, None, None);
     }
 }
 
-/// Gives the final answer once the home knows the end of the turn.
+/// Handles the confirmation of a `Settle` and answers the call.
 pub(super) fn settled(
     tick: &mut Tick<'_>,
     id: CallId,
@@ -132,7 +132,7 @@
     answer(tick, id, continuation.map(|c| *c), permit.map(|p| *p));
 }
 
-/// Answers a call that has run and waits for the home.
+/// Answers a call that has run, if it still waits for the home.
 fn answer(
     tick: &mut Tick<'_>,
     id: CallId,
--- a/crates/core/src/systems/homes/takeover.rs
+++ b/crates/core/src/systems/homes/takeover.rs
@@ -1,4 +1,4 @@
-//! Homes of programs across views.
+//! Moves programs between homes when the view changes.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,15 @@
 use crate::output::{Decision, TakeoverSource};
 use crate::tables::{HandedOver, Program, Release, Timer, View};
 
-/// Earlier views that are remembered; an older continuation counts as one of a lost home.
+/// Number of earlier views that are remembered.
+///
+/// A continuation from before them is treated as if its home was lost.
 const MAX_PAST_VIEWS: usize = 32;
 
-/// Programs in one message, so that it stays far below the limit of 256 KB.
+/// Programs per message, which keeps it far below the limit of 256 KB.
 const BATCH: usize = 64;
 
-/// A home with the start of its process and the epoch in which it became a member.
+/// A member by name, incarnation and the epoch in which it joined.
 type HomeOf<'a> = (&'a VmName, Incarnation, Epoch);
 
 /// Returns the home of a program in a view.
@@ -24,32 +26,33 @@
     Some((&member.vm, member.incarnation, member.joined))
 }
 
-/// Returns the entry of this VM in a view.
+/// Returns the identity of this VM in a view, if it is a member with its present incarnation.
 fn self_in<'a>(tick: &Tick<'_>, view: &'a View) -> Option<HomeOf<'a>> {
     let settings = tick.settings;
     let member = view.member_at(&settings.vm, settings.incarnation)?;
     Some((&member.vm, member.incarnation, member.joined))
 }
 
-/// Returns whether this VM, as the member that it is now, is the home in a view.
+/// Returns whether a view names this VM, with its present membership, as the home of a program.
 fn is_home_in(tick: &Tick<'_>, view: &View, key: &ProgramKey) -> bool {
     let me = self_in(tick, &tick.tables.view);
     me.is_some() && home_in(view, key) == me
 }
 
-/// Returns whether a VM, with a start of its process, is a member.
+/// Returns whether a VM is a member with the given incarnation.
 pub(super) fn is_member(tick: &Tick<'_>, vm: &VmName, incarnation: Incarnation) -> bool {
     tick.tables.view.member_at(vm, incarnation).is_some()
 }
 
 /// Checks that this VM may act as home of a program.
 ///
-/// It must be the home in its view, hold a lease, and have waited until no
-/// earlier home can hold one, unless that home has handed its programs over.
+/// It must be the home in its view and hold a lease. No previous home may still
+/// hold a lease: either the takeover wait has passed or all previous homes have
+/// handed their programs over.
 ///
 /// # Errors
 ///
-/// Returns the time in milliseconds after which to try again.
+/// Returns the time in milliseconds after which the caller should retry.
 pub(super) fn check_home(tick: &Tick<'_>, key: &ProgramKey) -> Result<(), u64> {
     let (now_us, tables) = (tick.now_us, &*tick.tables);
     if !tables.lease.is_valid(now_us) {
@@ -63,7 +66,7 @@
     }
 }
 
-/// Returns whether all homes that could still act for a program have handed it over.
+/// Returns whether all previous homes that could still hold a lease have handed a program over.
 fn was_handed_over(tick: &Tick<'_>, key: &ProgramKey) -> bool {
     let past_views = &tick.tables.membership.past_views;
     let has_let_go = |view: &View| {
@@ -79,6 +82,8 @@
 }
 
 /// Returns whether this VM has been the only home of a program since an epoch.
+///
+/// The answer is `false` if the epoch is older than the remembered views.
 pub(super) fn was_home_since(tick: &Tick<'_>, key: &ProgramKey, since: Epoch) -> bool {
     let past = tick.tables.homes.past.iter();
     for view in std::iter::once(&tick.tables.view).chain(past) {
@@ -98,16 +103,16 @@
     homes.past.iter().all(|view| is_home_in(tick, view, key))
 }
 
-/// Sorts programs anew when the view has changed.
+/// Moves programs to their new homes after a change of the view.
 ///
-/// This is the only place that looks at all programs and all calls.
+/// This is the only place that iterates over all programs and all calls.
 pub(super) fn follow_view(tick: &mut Tick<'_>) {
     if tick.tables.view.epoch == tick.tables.homes.view.epoch {
         return;
     }
     let new = tick.tables.view.clone();
     let old = std::mem::replace(&mut tick.tables.homes.view, new.clone());
-    // Before the first view of the fleet there was no home.
+    // The founder of the fleet knows that there were no homes before its first view.
     if old.epoch > Epoch::default() || !tick.tables.membership.is_founder {
         let past = &mut tick.tables.homes.past;
         past.push_front(old.clone());
@@ -131,7 +136,7 @@
     }
 }
 
-/// Marks a row that others may have moved on while this VM was no member.
+/// Marks a row as recovered: another home may have run turns while this VM was not a member.
 fn distrust(tick: &mut Tick<'_>, key: &ProgramKey) {
     let epoch = tick.tables.view.epoch.next();
     if let Some(program) = tick.tables.programs.get_mut(key) {
@@ -142,7 +147,8 @@
 
 /// Hands programs over to their new homes.
 ///
-/// A new home is told even if it gets no programs, so that it need not wait.
+/// New members, and all members if this VM leaves, get a message even without
+/// programs, so that they need not sit out the takeover wait.
 fn hand_over(tick: &mut Tick<'_>, old: &View, new: &View) {
     let me = tick.settings.vm.clone();
     if self_in(tick, old).is_none() {
@@ -170,7 +176,7 @@
     }
 }
 
-/// Removes the programs whose home is now another VM.
+/// Removes and returns the programs whose home is now another VM.
 fn take_moved(tick: &mut Tick<'_>, new: &View) -> Vec<(VmName, HandedProgram)> {
     let moved: Vec<(ProgramKey, VmName)> = tick
         .tables
@@ -181,7 +187,7 @@
         .collect();
     let mut taken = Vec::new();
     for (key, home) in moved {
-        // The entry VMs of calls that wait send `Begin` again, to the new home.
+        // The entry VMs of waiting calls resend `Begin` to the new home.
         waits::take_all(tick, &key);
         if let Some(row) = tick.tables.programs.remove(&key) {
             let now_us = tick.now_us;
@@ -191,7 +197,7 @@
     taken
 }
 
-/// Takes the releases that a leaving VM can no longer carry through.
+/// Returns the unconfirmed releases of a leaving VM, by the new home of their program.
 fn take_releases(
     tick: &mut Tick<'_>,
     new: &View,
@@ -212,7 +218,7 @@
     by_home
 }
 
-/// Sends programs to their new home.
+/// Sends a hand-over to a new home, in as many messages as the programs need.
 fn send_handed(
     tick: &mut Tick<'_>,
     to: &VmName,
@@ -250,10 +256,10 @@
     }
 }
 
-/// Returns how long this VM would still have had to wait for homes before it.
+/// Returns the rest of the takeover wait of this VM for the homes before it.
 ///
-/// It can have gained programs from members that were removed, and from all
-/// others when it became a member itself.
+/// It may have gained programs from members that were removed, and from every
+/// other member when it joined.
 fn own_wait_us(tick: &Tick<'_>) -> u64 {
     let membership = &tick.tables.membership;
     let past_views = &membership.past_views;
@@ -280,13 +286,15 @@
     ready_us.saturating_sub(tick.now_us)
 }
 
-/// Returns from when a VM that handed its programs over needs no wait.
+/// Returns when the complete hand-over of a VM takes effect, if it is of this epoch or later.
 fn let_go_us(tick: &Tick<'_>, vm: &VmName, epoch: Epoch) -> Option<u64> {
     let handed = tick.tables.homes.handed_over.get(vm)?;
     handed.from_us.filter(|_| handed.epoch >= epoch)
 }
 
-/// Takes note that a transfer has arrived, for a VM that leaves after the last one.
+/// Handles the confirmation of a transfer.
+///
+/// A leaving VM counts its open hand-overs and goes on with its departure as they are confirmed.
 pub(super) fn received(tick: &mut Tick<'_>, transfer: u64) {
     let Some(transfer) = tick.tables.homes.transfers.remove(&transfer) else {
         return;
@@ -298,10 +306,10 @@
     }
 }
 
-/// Takes programs from their old home.
+/// Installs the programs that their previous home hands over.
 pub(super) fn receive(tick: &mut Tick<'_>, vm: &VmName, handed: HandOver) {
     if handed.epoch > tick.tables.view.epoch {
-        // This VM does not know yet that the programs move here.
+        // This VM has not seen the view that moves the programs here; the sender retries.
         return;
     }
     let transfer = handed.transfer;
@@ -324,7 +332,7 @@
     );
 }
 
-/// Takes note of a part of a hand-over; the last part ends the takeover wait.
+/// Records one message of a hand-over; the last one replaces the takeover wait by `wait_us`.
 fn note_handed_over(
     tick: &mut Tick<'_>,
     vm: &VmName,
@@ -352,10 +360,10 @@
     }
 }
 
-/// Puts the row of a handed-over program in place of one that was rebuilt.
+/// Installs a handed-over row; it may replace one that was rebuilt during the takeover wait.
 ///
-/// A row with which this VM may already act, or that is newer, stays; it only
-/// learns what the handed-over one knows besides.
+/// The present row stays if it was not rebuilt, if it is newer or if this VM may
+/// already act on it; the handed-over row is then merged into it.
 fn install(tick: &mut Tick<'_>, handed: HandedProgram) {
     let HandedProgram { key, row, now_us } = handed;
     let is_waiting = check_home(tick, &key).is_err();
@@ -372,7 +380,7 @@
     }
     let mut row = rebase(row, now_us, tick.now_us);
     if !is_waiting {
-        // Homes in between may have acted without the old one.
+        // Homes between the previous one and this one may have run turns.
         row.is_recovered = true;
         row.known_from = tick.tables.view.epoch.next();
     }
@@ -394,7 +402,9 @@
     home::resume_turn(tick, &key);
 }
 
-/// Adds what a handed-over row knows to the row that stays.
+/// Merges the usage and engine memory of a handed-over row into the present row.
+///
+/// If the present row has another generation, the memory is released instead.
 fn merge(tick: &mut Tick<'_>, key: &ProgramKey, handed: &Program) {
     let present = tick.tables.programs.get_mut(key);
     let Some(present) = present.filter(|row| row.generation == handed.generation) else {
@@ -411,7 +421,7 @@
     }
 }
 
-/// Moves the times of a row to the clock of this VM and drops what only its old place had.
+/// Converts the times of a row to the clock of this VM and clears state that is local to a home.
 fn rebase(mut row: Program, from_us: u64, to_us: u64) -> Program {
     let rebased = |at_us: u64| (at_us + to_us).saturating_sub(from_us);
     row.started_us = rebased(row.started_us);
@@ -419,7 +429,7 @@
     if let Some(last) = &mut row.last {
         last.ended_us = rebased(last.ended_us);
     }
-    // Permits of the old home are void here.
+    // Permits of the previous home are not valid here.
     row.before_permits = 0;
     row.last_permit = 0;
     row.first_wait = None;
--- a/crates/core/src/systems/homes/transfers.rs
+++ b/crates/core/src/systems/homes/transfers.rs
@@ -1,4 +1,4 @@
-//! State of programs on its way to their new homes.
+//! Reliable delivery of program state to new homes.
 
 use super::super::Tick;
 use super::retry_us;
@@ -6,15 +6,15 @@
 use crate::message::HomesMessage;
 use crate::tables::{Timer, Transfer};
 
-/// Longest time between two sends of a transfer.
+/// Longest delay between two sends of a transfer.
 const TRANSFER_RETRY_MS: u64 = 1_000;
 
-/// Sends of a transfer before it is given up; by then the takeover wait is long over.
+/// Number of sends before a transfer is abandoned; by then the takeover wait has long passed.
 const MAX_TRIES: u32 = 30;
 
-/// Sends a message until the receiver confirms it.
+/// Sends a message repeatedly until the receiver confirms it.
 ///
-/// The message is made from the number that identifies it.
+/// `message` builds it from the number that identifies the transfer.
 pub(super) fn start(tick: &mut Tick<'_>, to: VmName, message: impl FnOnce(u64) -> HomesMessage) {
     let homes = &mut tick.tables.homes;
     let number = homes.next_transfer;
@@ -28,7 +28,8 @@
     send(tick, number);
 }
 
-/// Sends a transfer and plans the next try.
+/// Sends a transfer and schedules the next attempt; drops it after the last one or if the
+/// receiver is not a member.
 pub(super) fn send(tick: &mut Tick<'_>, number: u64) {
     let now_us = tick.now_us;
     let homes = &mut tick.tables.homes;
--- a/crates/core/src/systems/homes/tree.rs
+++ b/crates/core/src/systems/homes/tree.rs
@@ -1,4 +1,4 @@
-//! Rows of programs and their places in the tree of a root.
+//! Program rows and the tree of a root and its sub-agents.
 
 use smallvec::SmallVec;
 
@@ -8,10 +8,10 @@
 use crate::input::Continuation;
 use crate::tables::{Links, Phase, Program, Timer, Usage};
 
-/// Makes the row of a program that starts here.
+/// Creates the row of a new program, with a new generation.
 ///
-/// The row counts as recovered if another VM was the home of the name within
-/// the views that this VM remembers.
+/// The row is marked as recovered if another VM was the home in any remembered
+/// view, as a program of this name may have run there.
 pub(super) fn new_row(tick: &mut Tick<'_>, key: &ProgramKey) -> Program {
     let homes = &mut tick.tables.homes;
     homes.started_programs += 1;
@@ -59,7 +59,7 @@
     link(tick, &root_key, &key.name);
 }
 
-/// Puts a sub-agent at the front of its root's list.
+/// Adds a sub-agent to the front of its root's list.
 fn link(tick: &mut Tick<'_>, root_key: &ProgramKey, name: &ProgramName) {
     let programs = &mut tick.tables.programs;
     let Some(root) = programs.get_mut(root_key) else {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Removes the row of a program and closes the gap in its root's list.
+/// Removes the row of a program and unlinks it from its root's list.
 pub(super) fn remove(tick: &mut Tick<'_>, key: &ProgramKey) -> Option<Program> {
     let programs = &mut tick.tables.programs;
     let row = programs.remove(key)?;
@@ -145,7 +145,7 @@
     }
 }
 
-/// Returns the state that a caller carries to the next turn.
+/// Builds the continuation that a caller presents with its next turn.
 pub(super) fn state_of(tick: &Tick<'_>, key: &ProgramKey) -> Option<Continuation> {
     let row = tick.tables.programs.get(key)?;
     let root = tick.tables.programs.get(&key.root()).unwrap_or(row);
--- a/crates/core/src/systems/homes/waits.rs
+++ b/crates/core/src/systems/homes/waits.rs
@@ -1,4 +1,4 @@
-//! Calls that wait at the home for a turn.
+//! Calls that wait at the home of a program for their turn.
 
 use super::super::Tick;
 use super::{home, order};
@@ -7,7 +7,9 @@
 use crate::output::{Execution, RefusalKind};
 use crate::tables::{Timer, Wait};
 
-/// Adds a call to those that wait for a turn of its program.
+/// Adds a call to the waiting calls of its program.
+///
+/// An attached call, a resend of the turn in progress, waits without a limit.
 pub(super) fn add(tick: &mut Tick<'_>, vm: &VmName, begin: Box<Begin>, is_attached: bool) {
     let call = begin.call;
     let Some(program) = tick.tables.programs.get_mut(&begin.program) else {
@@ -27,14 +29,14 @@
     tick.send(vm, HomesMessage::Pending { call });
 }
 
-/// Takes note of a repeated `Begin`; returns whether its call waits.
+/// Records the `sent_us` of a resent `Begin`; returns whether its call is waiting.
 pub(super) fn refresh(tick: &mut Tick<'_>, begin: &Begin) -> bool {
     let wait = tick.tables.homes.waits.get_mut(&begin.call);
     wait.map(|wait| wait.begin.sent_us = wait.begin.sent_us.max(begin.sent_us))
         .is_some()
 }
 
-/// Removes a call from those that wait.
+/// Removes a call from the waiting calls of its program.
 pub(super) fn remove(tick: &mut Tick<'_>, call: CallId) -> Option<Wait> {
     let waits = &mut tick.tables.homes.waits;
     let wait = waits.remove(&call)?;
@@ -56,7 +58,7 @@
     Some(wait)
 }
 
-/// Takes all calls that wait for a turn of a program, lowest turn first.
+/// Removes and returns all waiting calls of a program, lowest turn first.
 pub(super) fn take_all(tick: &mut Tick<'_>, key: &ProgramKey) -> Vec<Wait> {
     let program = tick.tables.programs.get_mut(key);
     let mut next = program.and_then(|program| program.first_wait.take());
@@ -69,14 +71,14 @@
     taken
 }
 
-/// Decides anew about the calls that wait, after a turn has ended.
+/// Decides again about all waiting calls of a program after its state has changed.
 pub(super) fn recheck(tick: &mut Tick<'_>, key: &ProgramKey) {
     for wait in take_all(tick, key) {
         home::begin(tick, &wait.vm, wait.begin);
     }
 }
 
-/// Refuses a call that has waited long enough for the turn before it.
+/// Denies a call whose time to wait for earlier turns is over.
 pub(super) fn expire(tick: &mut Tick<'_>, call: CallId) {
     let wait = tick.tables.homes.waits.get(&call);
     if wait.is_none_or(|wait| wait.is_attached) {
--- a/crates/core/src/systems/homes/witness.rs
+++ b/crates/core/src/systems/homes/witness.rs
@@ -1,4 +1,4 @@
-//! What entry VMs know of the programs that they served.
+//! Witnesses: copies of program state kept by entry VMs, from which a new home rebuilds lost rows.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +12,10 @@
 use crate::output::{Execution, OverReason, TakeoverSource};
 use crate::tables::{KeptWitness, Stage, Timer, View};
 
-/// Witnesses in one message, so that it stays far below the limit of 256 KB.
+/// Witnesses per message, which keeps it far below the limit of 256 KB.
 const BATCH: usize = 128;
 
-/// Remembers the state of a program as its home told it.
+/// Records the state of a program as sent by its home.
 pub(super) fn note(tick: &mut Tick<'_>, state: Continuation) {
     let now_us = tick.now_us;
     let key = state.program.clone();
@@ -50,10 +50,10 @@
     }
 }
 
-/// Remembers the state that a call carries, unless something newer is known.
+/// Records the continuation that a call carries, unless a newer state is recorded.
 ///
-/// The home that gave the state may be cut off, and a call of an earlier turn that waits at
-/// another VM must not run again at the next home.
+/// If the home that issued it is cut off, the next home needs it: it must not run an earlier
+/// turn again for a call that waits at another VM.
 pub(super) fn note_carried(tick: &mut Tick<'_>, state: &Continuation) {
     let kept = tick.tables.homes.witnesses.get(&state.program);
     let is_new = kept.is_none_or(|kept| {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Remembers upstreams that may hold memory of a program.
+/// Records upstreams that may hold memory of a program.
 pub(super) fn note_upstreams(tick: &mut Tick<'_>, key: &ProgramKey, upstreams: &[UpstreamName]) {
     let Some(kept) = tick.tables.homes.witnesses.get_mut(key) else {
         return;
@@ -77,14 +77,14 @@
     }
 }
 
-/// Remembers that the caller ended a program through this VM.
+/// Records that the caller ended a program through this VM.
 pub(super) fn note_end(tick: &mut Tick<'_>, key: &ProgramKey) {
     if let Some(kept) = tick.tables.homes.witnesses.get_mut(key) {
         kept.witness.is_ended = true;
     }
 }
 
-/// Forgets a program that has not been served for the time of its lease.
+/// Removes the witness of a program that this VM has not served for the length of a lease.
 pub(super) fn forget(tick: &mut Tick<'_>, key: &ProgramKey) {
     let Some(kept) = tick.tables.homes.witnesses.get(key) else {
         return;
@@ -98,7 +98,7 @@
     }
 }
 
-/// Sends the witnesses of programs whose home moved to the new homes.
+/// Sends the witnesses of programs whose home has changed to their new homes.
 pub(super) fn push(tick: &mut Tick<'_>, old: &View, new: &View) {
     let mut by_home: BTreeMap<VmName, Vec<Witness>> = BTreeMap::new();
     for witness in moved(tick, old, new)
@@ -111,7 +111,7 @@
     }
     let epoch = new.epoch;
     for (home, mut witnesses) in by_home {
-        // Roots before their sub-agents, and the same order for the same programs.
+        // Puts roots before their sub-agents and makes the order deterministic.
         witnesses.sort_by(|a, b| a.state.program.cmp(&b.state.program));
         for batch in witnesses.chunks(BATCH) {
             transfers::start(tick, home.clone(), |transfer| HomesMessage::Witness {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Returns the witnesses of programs whose home moved, with their turns in progress.
+/// Returns the witnesses of programs whose home has changed, with their turns in progress.
 fn moved(tick: &Tick<'_>, old: &View, new: &View) -> Vec<Witness> {
     let mut running = running_turns(tick);
     tick.tables
@@ -143,7 +143,7 @@
         .collect()
 }
 
-/// Returns witnesses for the ends of programs whose home moved away from this VM.
+/// Returns witnesses that mark the ended programs of this VM as ended at their new homes.
 fn over(tick: &Tick<'_>, old: &View, new: &View) -> Vec<Witness> {
     let over = tick.tables.homes.over.iter();
     over.filter(|(key, _)| takeover::home_in(old, key) != takeover::home_in(new, key))
@@ -157,12 +157,12 @@
         .collect()
 }
 
-/// Turns in progress at this entry VM with the upstreams that may run them.
+/// Turns in progress of one program, with the upstreams that may run them.
 type RunningTurns = (SmallVec<[RunningTurn; 1]>, SmallVec<[UpstreamName; 4]>);
 
 /// Returns the turns in progress at this entry VM by program.
 ///
-/// A turn whose end no home has confirmed counts, even if its caller has the response.
+/// This includes turns whose end no home has confirmed, even if their callers have the responses.
 fn running_turns(tick: &Tick<'_>) -> BTreeMap<ProgramKey, RunningTurns> {
     let mut running: BTreeMap<ProgramKey, RunningTurns> = BTreeMap::new();
     for (_, call) in tick.tables.calls.iter() {
@@ -186,10 +186,10 @@
     running
 }
 
-/// Takes the witnesses of an entry VM for programs that moved here.
+/// Applies the witnesses of an entry VM for programs whose home is now this VM.
 ///
-/// A view that this VM does not know yet may move more programs here, so the
-/// sender has to try again.
+/// Witnesses of a view that this VM has not seen yet are not confirmed: it
+/// cannot tell which of the programs move here, and the sender retries.
 pub(super) fn receive(
     tick: &mut Tick<'_>,
     vm: &VmName,
@@ -209,13 +209,13 @@
     tick.send(vm, HomesMessage::Received { transfer });
 }
 
-/// Returns whether a program without a row is known to be over.
+/// Returns whether the program of a state is known to be over, given that it has no row.
 fn is_gone(tick: &Tick<'_>, key: &ProgramKey, state: &Continuation) -> bool {
     lifecycle::is_over(tick, key, state.generation)
         || takeover::was_home_since(tick, key, state.epoch)
 }
 
-/// Brings the row of a program up to a witness.
+/// Updates or rebuilds the row of a program from a witness.
 fn take(tick: &mut Tick<'_>, vm: &VmName, witness: &Witness) {
     let (key, state) = (&witness.state.program, &witness.state);
     let mut state = state.clone();
@@ -228,7 +228,7 @@
     }
     let program = tick.tables.programs.get(key);
     if program.is_none_or(|program| program.generation != state.generation) {
-        // The program is over, and the witness may know of memory that its home did not.
+        // That generation is over; its home may not have known all upstreams with its memory.
         for upstream in &witness.upstreams {
             release::release(tick, upstream.clone(), key.clone(), state.generation);
         }
--- a/crates/core/src/systems/intake/mod.rs
+++ b/crates/core/src/systems/intake/mod.rs
@@ -1,4 +1,4 @@
-//! Sorts inputs and messages into the work lists of the systems.
+//! Dispatches inputs and messages to the work lists of the systems.
 
 use super::{Sender, Tick, Work};
 use crate::config::Coordination;
@@ -7,7 +7,7 @@
 use crate::output::Decision;
 use crate::tables::{Release, Vm};
 
-/// Sorts the inputs of a tick.
+/// Dispatches the inputs of a tick; drops messages from before a restart of their sender.
 pub(crate) fn run(tick: &mut Tick<'_>, inputs: impl IntoIterator<Item = Input>) {
     for input in inputs {
         if !is_from_former_start(tick, &input) {
@@ -16,9 +16,9 @@
     }
 }
 
-/// Returns whether an input is a message that a VM sent before it was restarted.
+/// Returns whether an input is a message from a previous incarnation of its sender.
 ///
-/// Keeps the latest start of each sender.
+/// Records the newest incarnation of each sender.
 fn is_from_former_start(tick: &mut Tick<'_>, input: &Input) -> bool {
     let Input::Peer {
         from, incarnation, ..
@@ -43,7 +43,7 @@
     false
 }
 
-/// Puts one input on the work list of its system.
+/// Adds an input to the work list of its system.
 fn sort(work: &mut Work, coordination: Coordination, input: Input) {
     match input {
         Input::CallArrived(call) => work.admission.arrived.push(*call),
@@ -103,7 +103,7 @@
     }
 }
 
-/// Puts a message on the work list of its system.
+/// Adds a message to the work list of its system.
 pub(crate) fn route(work: &mut Work, sender: Sender, message: PeerMessage) {
     match message {
         PeerMessage::Membership(message) => work.membership.messages.push((sender, message)),
