--- a/crates/core/src/systems/placement/alone.rs
+++ b/crates/core/src/systems/placement/alone.rs
@@ -1,4 +1,7 @@
-//! Runs contents that were in two crashes alone on an upstream.
+//! Isolates suspect contents on upstreams that run no other call.
+//!
+//! A content that was running during two crashes runs alone, so that another
+//! crash can be attributed to it.
 
 use smallvec::SmallVec;
 
@@ -9,14 +12,17 @@
 use crate::output::{PlacementReason, RefusalKind};
 use crate::tables::Waiting;
 
-/// Starts calls that have to run alone, as far as upstreams can be kept free.
+/// Places isolated calls while reserved upstreams are idle.
 pub(super) fn assign(tick: &mut Tick<'_>, pool: &PoolKey) {
     while let Some(waiting) = next(tick, pool) {
         start(tick, pool, waiting);
     }
 }
 
-/// Takes the first call that can start now, reserving an upstream for it.
+/// Removes and returns the first isolated call if a reserved upstream is idle.
+///
+/// Reserves another upstream if needed. Calls in front of it that are
+/// quarantined, held or no longer suspect are refused or moved.
 fn next(tick: &mut Tick<'_>, pool: &PoolKey) -> Option<Waiting> {
     let row = tick.tables.pools.get(pool)?;
     let waiting = row.alone.front()?;
@@ -48,7 +54,7 @@
     tick.tables.pools.get_mut(pool)?.alone.pop_front()
 }
 
-/// Returns a reserved upstream on which nothing of this pool's owner runs.
+/// Returns a usable reserved upstream on which this VM has placed no attempt.
 fn reserved_idle(tick: &Tick<'_>, pool: &PoolKey) -> Option<UpstreamName> {
     let row = tick.tables.pools.get(pool)?;
     row.reserved
@@ -60,7 +66,7 @@
         .cloned()
 }
 
-/// Keeps one more upstream free, at most half of the pool.
+/// Reserves one more upstream, as far as calls need it and at most half of the pool.
 fn reserve(tick: &mut Tick<'_>, pool: &PoolKey) {
     let Some(row) = tick.tables.pools.get_mut(pool) else {
         return;
@@ -80,7 +86,7 @@
     listing::list(tick, &name);
 }
 
-/// Counts the reserved upstreams on which something runs.
+/// Counts the reserved upstreams with running attempts.
 fn busy_reserved(
     upstreams: &crate::tables::Table<UpstreamName, crate::tables::Upstream>,
     pool: &crate::tables::Pool,
@@ -94,7 +100,7 @@
         .count()
 }
 
-/// Starts a call alone on a reserved upstream.
+/// Places a call alone on an idle reserved upstream.
 fn start(tick: &mut Tick<'_>, pool: &PoolKey, waiting: Waiting) {
     let Some(upstream) = reserved_idle(tick, pool) else {
         return;
@@ -109,7 +115,7 @@
     owner::place(tick, waiting, chosen, true);
 }
 
-/// Gives back upstreams that were kept free when no call needs them any more.
+/// Releases reserved upstreams that no isolated call waits for or runs on.
 pub(super) fn unreserve(tick: &mut Tick<'_>, pool: &PoolKey) {
     let Some(row) = tick.tables.pools.get(pool) else {
         return;
--- a/crates/core/src/systems/placement/choice.rs
+++ b/crates/core/src/systems/placement/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream for a call.
+//! Selects upstreams for calls.
 
 use smallvec::SmallVec;
 
@@ -9,55 +9,56 @@
 use crate::output::PlacementReason;
 use crate::tables::{Pool, Upstream, Waiting};
 
-/// Pools up to this size are compared as a whole; larger ones by two hashes.
+/// Largest pool in which all open upstreams are compared; larger ones are sampled by two hashes.
 const COMPARED_UPSTREAMS: usize = 16;
 
-/// Weight of reading a prompt against waiting.
+/// Weight of prefill time relative to waiting time.
 ///
-/// Reading holds up other prompts, slows the whole batch and evicts prefixes
-/// of other programs, none of which the call itself feels. In the policy
-/// report at 2.7 programs per second, weights of 8, 16 and 32 gave a mean
-/// program latency of 122, 107 and 105 s; more than 16 gains little and lets
-/// load pile up on one upstream.
+/// Prefill delays other prompts, slows the whole batch and evicts prefixes of
+/// other programs; the latency of the call itself includes none of this. In
+/// the policy report at 2.7 programs per second, weights of 8, 16 and 32 gave
+/// a mean program latency of 122, 107 and 105 s; weights above 16 gain little
+/// and concentrate load on one upstream.
 const READ_WEIGHT: u64 = 16;
 
-/// Cost of an upstream in another failure domain: the way there and back, and the traffic.
+/// Fixed cost of an upstream in another failure domain: the round trip and the traffic.
 const FAR_US: u64 = 8_000;
 
-/// Cost of sending one token of a prompt to another failure domain.
+/// Cost of sending one prompt token to another failure domain.
 ///
-/// Traffic between failure domains is dear; a prompt of 1,000 tokens is worth a third of a
-/// batch more in the same one.
+/// Traffic between failure domains is expensive: to keep a prompt of 1,000 tokens
+/// in its domain, a batch may be fuller by a third.
 const FAR_TOKEN_NS: u64 = 25_000;
 
-/// What happens to a waiting call.
+/// Result of selecting an upstream for a waiting call.
 #[derive(Debug)]
 pub(super) enum Choice {
-    /// It runs on an upstream.
+    /// The call is assigned to an upstream.
     Run(Chosen),
-    /// It waits for an upstream that suits it better, or for any.
+    /// The call stays queued: no upstream has room, or a full one is worth waiting for.
     Wait,
-    /// The only upstream that may run it gets no calls for longer than the call may wait.
+    /// The only allowed upstream is ejected for longer than the call may wait.
     Never,
 }
 
-/// The upstream chosen for a call.
+/// The upstream selected for a call.
 #[derive(Debug)]
 pub(super) struct Chosen {
     pub upstream: UpstreamName,
     pub reason: PlacementReason,
     pub runners_up: SmallVec<[UpstreamName; 2]>,
+    /// Prompt tokens that the upstream is expected to have cached.
     pub cached_tokens: u64,
 }
 
-/// An upstream with room and its cost for a call.
+/// An upstream with room and its estimated cost for a call.
 struct Offer {
     cost_us: u64,
     cached_tokens: u64,
     upstream: UpstreamName,
 }
 
-/// Chooses an upstream with room for a call.
+/// Selects an upstream with room for a call by the configured policy.
 pub(super) fn choose(tick: &Tick<'_>, key: &PoolKey, waiting: &Waiting) -> Choice {
     let Some(pool) = tick.tables.pools.get(key) else {
         return Choice::Wait;
@@ -81,7 +82,10 @@
     }
 }
 
-/// Returns the only upstream that may run a call, unless it has ended since.
+/// Returns the upstream that a call is pinned to.
+///
+/// Returns `None` if the upstream left the pool, is leaving, or crashed or
+/// refused a connection recently.
 fn only<'a>(tick: &Tick<'_>, pool: &Pool, waiting: &'a Waiting) -> Option<&'a UpstreamName> {
     let only = waiting.place.only.as_ref()?;
     let row = tick.tables.upstreams.get(only)?;
@@ -89,7 +93,7 @@
     (pool.upstreams.contains(only) && !row.config.leaving && !has_ended).then_some(only)
 }
 
-/// Returns whether a call avoids every upstream that could run it.
+/// Returns whether a call avoids every usable upstream of a pool small enough to check.
 fn avoids_all(tick: &Tick<'_>, pool: &Pool, waiting: &Waiting) -> bool {
     let avoid = &waiting.place.avoid;
     if avoid.is_empty() || pool.upstreams.len() > COMPARED_UPSTREAMS {
@@ -101,31 +105,31 @@
         .all(|name| avoid.contains(name))
 }
 
-/// Returns whether an upstream may get calls, whether or not it has room.
+/// Returns whether an upstream may get calls, regardless of its free capacity.
 fn is_usable(tick: &Tick<'_>, name: &UpstreamName) -> bool {
     let row = tick.tables.upstreams.get(name);
     row.is_some_and(|row| row.is_usable(tick.now_us))
 }
 
-/// Chooses the next upstream in turn.
+/// Selects the next open upstream in round-robin order.
 fn in_turn(tick: &Tick<'_>, pool: &Pool, is_allowed: impl Fn(&UpstreamName) -> bool) -> Choice {
     let count = pool.upstreams.len();
-    let turns = (0..count).map(|step| &pool.upstreams[(pool.next + step) % count]);
-    let mut open = turns.filter(|name| {
+    let rotation = (0..count).map(|step| &pool.upstreams[(pool.next + step) % count]);
+    let mut open = rotation.filter(|name| {
         let row = tick.tables.upstreams.get(name);
         row.is_some_and(|row| row.listed.is_some()) && is_allowed(name)
     });
     chosen(&mut open, PlacementReason::InTurn)
 }
 
-/// Chooses the upstream with the fewest calls for its limit.
+/// Selects the open upstream with the fewest running calls relative to its limit.
 fn least_loaded(pool: &Pool, is_allowed: impl Fn(&UpstreamName) -> bool) -> Choice {
     let mut open = pool.open.iter().map(|(_, name)| name);
     let mut allowed = open.by_ref().filter(|name| is_allowed(name));
     chosen(&mut allowed, PlacementReason::LeastRunning)
 }
 
-/// Makes a choice from upstreams in the order of preference.
+/// Selects the first of the ranked upstreams; the next two are the runners-up.
 fn chosen<'a>(
     ranked: &mut impl Iterator<Item = &'a UpstreamName>,
     reason: PlacementReason,
@@ -141,7 +145,7 @@
     })
 }
 
-/// Chooses the upstream with the lowest cost of waiting and reading the prompt.
+/// Selects the upstream with the lowest estimated cost of waiting and prefill.
 fn lowest_cost(
     tick: &Tick<'_>,
     pool: &Pool,
@@ -196,10 +200,10 @@
     })
 }
 
-/// Returns the upstreams whose cost is worked out.
+/// Returns the upstreams whose costs are compared.
 ///
-/// In a large pool these are the hinted ones, two chosen by hash and, as the
-/// hashed ones may be full, the least loaded one.
+/// In a large pool these are the hinted ones, two selected by hash, and the
+/// least loaded one in case the hashed ones are full.
 fn compared<'a>(
     tick: &Tick<'_>,
     pool: &'a Pool,
@@ -225,31 +229,31 @@
     compared
 }
 
-/// Works out the cost of a call on an upstream.
+/// Estimates the cost of running a call on an upstream.
 fn cost_us(tick: &Tick<'_>, row: &Upstream, waiting: &Waiting, cached_tokens: u64) -> u64 {
     let limit_calls = row.limit_calls(tick.settings.policy.learned_limit).max(1);
     let wait_us = row.prefill_until_us.saturating_sub(tick.now_us);
     // A fuller batch decodes more slowly; a full one about doubles the time of a call.
     let batch_us = row.hold_us * u64::from(row.running_calls()) / u64::from(limit_calls) / 2;
     let read_tokens = waiting.place.prompt_tokens.saturating_sub(cached_tokens);
-    let is_far = row.config.failure_domain.as_ref();
-    let is_far = is_far.is_some_and(|domain| *domain != tick.settings.failure_domain);
-    let far_us = if is_far {
+    let domain = row.config.failure_domain.as_ref();
+    let is_cross_domain = domain.is_some_and(|domain| *domain != tick.settings.failure_domain);
+    let cross_domain_us = if is_cross_domain {
         FAR_US + waiting.place.prompt_tokens * FAR_TOKEN_NS / 1_000
     } else {
         0
     };
-    wait_us + batch_us + far_us + READ_WEIGHT * read_us(row, read_tokens)
+    wait_us + batch_us + cross_domain_us + READ_WEIGHT * read_us(row, read_tokens)
 }
 
-/// Returns the time to read tokens of a prompt.
+/// Returns the prefill time of prompt tokens.
 fn read_us(row: &Upstream, tokens: u64) -> u64 {
     tokens * row.prefill_ns_per_token / 1_000
 }
 
-/// Returns whether a call had better wait for the full upstream with its prefix.
+/// Returns whether waiting for a full upstream with a cached prefix costs less than the best offer.
 ///
-/// The wait is bounded by what reading the prompt again would cost.
+/// The wait is limited to the prefill cost that the cached prefix saves.
 fn is_worth_waiting(
     tick: &Tick<'_>,
     waiting: &Waiting,
@@ -274,7 +278,7 @@
     })
 }
 
-/// Spreads the bits of a number (the finalizer of SplitMix64).
+/// Hashes a number with SplitMix64.
 fn spread(number: u64) -> u64 {
     let hash = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/systems/placement/entry.rs
+++ b/crates/core/src/systems/placement/entry.rs
@@ -1,4 +1,4 @@
-//! The entry VM's side of a placement.
+//! The entry VM's side of placement: requests upstreams and dispatches attempts.
 
 use smallvec::SmallVec;
 
@@ -11,31 +11,31 @@
 };
 use crate::tables::{Call, Stage, Timer};
 
-/// Unanswered requests after which the owner of a pool counts as failed.
+/// Unanswered requests after which the owner of a pool is considered failed.
 const MAX_UNANSWERED: u32 = 2;
 
-/// Interval at which a waiting call is confirmed, in timeouts of a request.
+/// Interval at which a queued call is confirmed, in request timeouts.
 const CONFIRM_TIMEOUTS: u64 = 5;
 
-/// Objectives of an idempotent route for which its upstream may be silent.
+/// Silence limit of an idempotent route, in multiples of its latency objective.
 const IDEMPOTENT_OBJECTIVES: u64 = 5;
 
-/// Objectives of a stream for which its upstream may be silent.
+/// Silence limits of a resumable stream, in multiples of its latency objective and event gap.
 const STREAM_OBJECTIVES: u64 = 4;
 
-/// Shortest silence of an idempotent call; a loaded upstream answers within it.
+/// Lower bound of an idempotent route's silence limit; a loaded upstream answers within it.
 const MIN_SILENCE_MS: u64 = 400;
 
-/// Shortest silence before the first event; a long prompt is read within it.
+/// Lower bound of the silence limit before the first event; a long prompt is read within it.
 const MIN_FIRST_EVENT_MS: u64 = 1_000;
 
-/// Shortest silence between two events.
+/// Lower bound of the silence limit between events, and the event gap of routes without one.
 const MIN_EVENT_GAP_MS: u64 = 800;
 
-/// The upstream chosen for an attempt, the reason and the next best upstreams.
+/// The upstream of an attempt, the reason for its selection and the runners-up.
 type Assignment = (UpstreamName, PlacementReason, SmallVec<[UpstreamName; 2]>);
 
-/// Starts the next attempt of a call and asks the owner of the pool for an upstream.
+/// Starts the next attempt of a call and requests an upstream from the owner of the pool.
 pub(super) fn request(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let Some(call) = tick.tables.calls.get_mut(&id) else {
@@ -61,7 +61,7 @@
     send_place(tick, id);
 }
 
-/// Sends the request for an upstream, for the first time or again.
+/// Sends or resends the placement request of a call's current attempt.
 pub(super) fn send_place(tick: &mut Tick<'_>, id: CallId) {
     let Some(call) = tick.tables.calls.get(&id) else {
         return;
@@ -72,18 +72,18 @@
         return;
     };
     let mut place = place_of(call);
-    let before = AttemptId {
+    let previous = AttemptId {
         call: id,
         number: call.attempts.saturating_sub(1),
     };
-    place.ended = tick.tables.finishing.get(&before).cloned();
+    place.ended = tick.tables.finishing.get(&previous).cloned();
     if owner != tick.settings.vm {
         wait_for_answer(tick, place.attempt, 1);
     }
     tick.send(&owner, PlacementMessage::Place(Box::new(place)));
 }
 
-/// Makes the request for an upstream.
+/// Builds the placement request of a call's current attempt.
 fn place_of(call: &Call) -> Place {
     let turn = call.new.program.as_ref();
     let continuation = turn.and_then(|turn| turn.continuation.as_ref());
@@ -108,7 +108,7 @@
     }
 }
 
-/// Plans to look for the answer of the owner of a pool.
+/// Schedules a check for the pool owner's answer after a number of request timeouts.
 fn wait_for_answer(tick: &mut Tick<'_>, attempt: AttemptId, timeouts: u64) {
     let due_us = tick.now_us + timeouts * tick.settings.place_timeout_ms * 1_000;
     if let Some(call) = tick.tables.calls.get_mut(&attempt.call) {
@@ -117,7 +117,7 @@
     tick.tables.timers.set(due_us, Timer::PlaceWait(attempt));
 }
 
-/// Notes that a call waits at the owner of its pool.
+/// Handles the pool owner's confirmation that a call is queued.
 pub(super) fn queued(tick: &mut Tick<'_>, attempt: AttemptId) {
     if !is_waiting(tick, attempt) {
         return;
@@ -128,7 +128,7 @@
     wait_for_answer(tick, attempt, CONFIRM_TIMEOUTS);
 }
 
-/// Asks again, or places the call here when the owner counts as failed.
+/// Resends an unanswered request, or places the call locally if the owner is considered failed.
 pub(super) fn check_answer(tick: &mut Tick<'_>, attempt: AttemptId) {
     if !is_waiting(tick, attempt) {
         return;
@@ -141,7 +141,7 @@
         return;
     }
     call.place.unanswered += 1;
-    // Only the owner knows how many copies of a suspect run, so a suspect waits for one.
+    // Only an owner knows how many copies of a suspect content run, so these calls wait for one.
     let is_suspect = call.place.crashes > 0;
     if call.place.unanswered >= MAX_UNANSWERED && !is_suspect && place_here(tick, attempt) {
         return;
@@ -149,9 +149,9 @@
     send_place(tick, attempt.call);
 }
 
-/// Places a call on the upstream with the fewest calls of this VM.
+/// Places a call without its owner, on the usable upstream with the fewest calls of this VM.
 ///
-/// The scan of the pool is limited to calls whose owner has failed.
+/// Scans the whole pool, but only for calls whose owner has failed.
 fn place_here(tick: &mut Tick<'_>, attempt: AttemptId) -> bool {
     let Some(call) = tick.tables.calls.get(&attempt.call) else {
         return false;
@@ -196,7 +196,7 @@
     true
 }
 
-/// Describes a running attempt to the owner of its pool.
+/// Builds the report of a running attempt for the owner of its pool.
 pub(super) fn in_flight(call: &Call, upstream: UpstreamName) -> InFlight {
     InFlight {
         attempt: call.attempt(),
@@ -208,13 +208,13 @@
     }
 }
 
-/// Returns whether an attempt still waits for an upstream.
+/// Returns whether an attempt is still waiting for an upstream.
 fn is_waiting(tick: &Tick<'_>, attempt: AttemptId) -> bool {
     let call = tick.tables.calls.get(&attempt.call);
     call.is_some_and(|call| call.stage == Stage::Place && call.attempt() == attempt)
 }
 
-/// Starts an attempt that the owner has placed, or frees its upstream.
+/// Dispatches an attempt that the owner has placed, or releases its upstream.
 pub(super) fn placed(
     tick: &mut Tick<'_>,
     pool: &PoolKey,
@@ -244,16 +244,16 @@
             && call.attempt() == attempt
             && call.upstream.as_ref() == Some(&assignment.0)
     });
-    // The end of a finished attempt is on its way already.
+    // The owner is already being told that an attempt in `finishing` has ended.
     if !runs_there && !tick.tables.finishing.contains_key(&attempt) {
         free_unused(tick, pool, attempt, assignment.0);
     }
 }
 
-/// Returns the time after which a call must not start.
+/// Returns the time after which a call must not be dispatched.
 ///
-/// A call that may run more than once may wait in a queue for longer than
-/// the lease of its home lasts.
+/// An idempotent call may run more than once, so it may stay queued for longer
+/// than the lease of its home lasts.
 fn valid_until_us(call: &Call) -> u64 {
     if call.idempotent {
         u64::MAX
@@ -262,7 +262,7 @@
     }
 }
 
-/// Frees an upstream that was chosen for a call that no longer waits.
+/// Releases an upstream that was assigned to a call that does not use it.
 fn free_unused(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId, upstream: UpstreamName) {
     let finish = Finish {
         pool: pool.clone(),
@@ -278,7 +278,7 @@
     send_finish(tick, finish);
 }
 
-/// Sends an attempt to its upstream.
+/// Dispatches an attempt to its upstream.
 fn dispatch(tick: &mut Tick<'_>, attempt: AttemptId, assignment: Assignment) {
     let (upstream, reason, runners_up) = assignment;
     cancel_waits(tick, attempt);
@@ -329,16 +329,18 @@
     tick.decide(decision);
 }
 
-/// How long an upstream may say nothing before its connection counts as silent.
+/// How long an upstream may send nothing before it is considered silent.
 #[derive(Debug, Clone, Copy)]
 struct SilenceLimits {
+    /// Before the first token or event.
     first_ms: u64,
+    /// Between tokens or events.
     gap_ms: u64,
 }
 
-/// Returns the silence after which a relayed call is worth another attempt.
+/// Returns the silence limits after which a relayed call is attempted again.
 ///
-/// A call that may not be repeated waits for as long as its caller does.
+/// A call that may not be repeated waits as long as its caller: the route's timeout.
 fn silence_limits(route: &HostRoute) -> SilenceLimits {
     match route.kind {
         RouteKind::NonIdempotent | RouteKind::Stream { resumable: false } => SilenceLimits {
@@ -362,7 +364,7 @@
     }
 }
 
-/// Returns what is known of the events of a response.
+/// Returns the event format of a streamed response, `None` for other routes.
 fn event_form(route: &HostRoute, service: Option<&ServiceConfig>) -> Option<EventForm> {
     let RouteKind::Stream { resumable } = route.kind else {
         return None;
@@ -377,8 +379,9 @@
     })
 }
 
-/// Removes the timers of a call that no longer waits; at a high rate of calls
-/// they would fill the timers for as long as a call may wait.
+/// Cancels the wait timers of a call that is no longer queued.
+///
+/// At a high call rate they would otherwise pile up for the maximum queue time.
 fn cancel_waits(tick: &mut Tick<'_>, attempt: AttemptId) {
     let tables = &mut *tick.tables;
     if let Some(call) = tables.calls.get(&attempt.call) {
@@ -388,7 +391,7 @@
     }
 }
 
-/// Refuses a call that has waited too long for an upstream.
+/// Refuses a call whose wait for an upstream has timed out.
 pub(super) fn expire(tick: &mut Tick<'_>, attempt: AttemptId) {
     if !is_waiting(tick, attempt) {
         return;
@@ -404,7 +407,7 @@
     admission::refuse(tick, attempt.call, kind, ran, Some(1_000));
 }
 
-/// Refuses a call that the owner of the pool does not place.
+/// Refuses a call that the owner of the pool declined to place.
 pub(super) fn unplaced(tick: &mut Tick<'_>, attempt: AttemptId, kind: RefusalKind) {
     if !is_waiting(tick, attempt) {
         return;
@@ -414,7 +417,7 @@
     admission::refuse(tick, attempt.call, kind, ran, None);
 }
 
-/// Reports the end of an attempt to the owner of its pool.
+/// Counts an attempt as ended on this VM and reports its end to the pool owner.
 pub(crate) fn end_attempt(tick: &mut Tick<'_>, finish: Finish) {
     if let Some(row) = tick.tables.upstreams.get_mut(&finish.upstream) {
         row.own_calls = row.own_calls.saturating_sub(1);
@@ -422,14 +425,14 @@
     send_finish(tick, finish);
 }
 
-/// Sends a report until the owner confirms it.
+/// Stores a finish report and sends it until the owner acknowledges it.
 fn send_finish(tick: &mut Tick<'_>, finish: Finish) {
     let attempt = finish.attempt;
     tick.tables.finishing.insert(attempt, finish);
     resend_finish(tick, attempt);
 }
 
-/// Sends a report that the owner has not confirmed, for as long as a call may run.
+/// Sends a finish report that the owner has not acknowledged; drops it if the pool has no owner.
 pub(crate) fn resend_finish(tick: &mut Tick<'_>, attempt: AttemptId) {
     let Some(finish) = tick.tables.finishing.get(&attempt).cloned() else {
         return;
--- a/crates/core/src/systems/placement/handover.rs
+++ b/crates/core/src/systems/placement/handover.rs
@@ -1,4 +1,4 @@
-//! Changes of the view and the configuration.
+//! Applies new views and configurations to placement.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::message::{InFlight, PlacementMessage};
 use crate::tables::{Running, Stage};
 
-/// Attempts in one message, to stay under the size limit of a message between VMs.
+/// Keeps a message under the size limit of messages between VMs.
 const ATTEMPTS_PER_MESSAGE: usize = 500;
 
 /// Rebuilds the open sets after the upstreams of pools have changed.
@@ -28,8 +28,8 @@
             }
         }
     }
-    let names: Vec<UpstreamName> = names(tick);
-    for name in names {
+    let upstreams: Vec<UpstreamName> = names(tick);
+    for name in upstreams {
         listing::wake(tick, &name);
     }
 }
@@ -40,8 +40,8 @@
     rows.map(|(name, _)| name.clone()).collect()
 }
 
-/// Acts on a new view: gives up pools, frees what ran for VMs that are gone,
-/// and reports the calls of this VM to new owners.
+/// Applies a new view: drops the state of pools that moved away and of VMs that
+/// left, and reports the calls of this VM to the owners of their pools.
 pub(super) fn adopt_view(tick: &mut Tick<'_>) {
     tick.tables.placed_epoch = tick.tables.view.epoch;
     drop_waiting(tick);
@@ -59,15 +59,15 @@
     }
 }
 
-/// Returns whether this VM owns a pool and a VM is a member.
+/// Returns whether this VM owns a pool and the entry VM is still a member.
 fn is_kept(tick: &Tick<'_>, pool: &PoolKey, vm: &VmName) -> bool {
     let view = &tick.tables.view;
     view.pool_owner(pool) == Some(&tick.settings.vm) && view.member(vm).is_some()
 }
 
-/// Removes waiting calls of pools that moved away and of VMs that are gone.
+/// Removes waiting calls of pools that moved away and of VMs that left.
 fn drop_waiting(tick: &mut Tick<'_>) {
-    let gone: Vec<(PoolKey, AttemptId)> = tick
+    let stale: Vec<(PoolKey, AttemptId)> = tick
         .tables
         .pools
         .iter()
@@ -75,32 +75,32 @@
         .filter(|(key, waiting)| !is_kept(tick, key, &waiting.vm))
         .map(|(key, waiting)| (key.clone(), waiting.place.attempt))
         .collect();
-    for (key, attempt) in gone {
+    for (key, attempt) in stale {
         if let Some(pool) = tick.tables.pools.get_mut(&key) {
             pool.forget(attempt);
         }
     }
 }
 
-/// Frees what ran for pools that moved away and for VMs that are gone.
+/// Releases running attempts of pools that moved away and of VMs that left.
 ///
-/// An upstream stops the requests of a VM that is gone when its connections close.
+/// An upstream aborts the requests of a VM that left when its connections close.
 fn drop_running(tick: &mut Tick<'_>) {
-    let gone: Vec<AttemptId> = tick
+    let stale: Vec<AttemptId> = tick
         .tables
         .running
         .iter()
         .filter(|(_, running)| !is_kept(tick, &running.pool, &running.vm))
         .map(|(attempt, _)| *attempt)
         .collect();
-    for attempt in gone {
+    for attempt in stale {
         if let Some(running) = tick.tables.running.remove(&attempt) {
             owner::release(tick, attempt, &running);
         }
     }
 }
 
-/// Reports running attempts to the owners of their pools and asks again for waiting ones.
+/// Reports running attempts to the owners of their pools and resends the requests of waiting ones.
 fn report_calls(tick: &mut Tick<'_>) {
     let mut in_flight: BTreeMap<PoolKey, Vec<InFlight>> = BTreeMap::new();
     let mut waiting: Vec<CallId> = Vec::new();
@@ -121,10 +121,10 @@
         let Some(owner) = tick.tables.view.pool_owner(&pool).cloned() else {
             continue;
         };
-        for part in attempts.chunks(ATTEMPTS_PER_MESSAGE) {
+        for chunk in attempts.chunks(ATTEMPTS_PER_MESSAGE) {
             let message = PlacementMessage::InFlight {
                 pool: pool.clone(),
-                attempts: part.to_vec(),
+                attempts: chunk.to_vec(),
             };
             tick.send(&owner, message);
         }
@@ -134,7 +134,7 @@
     }
 }
 
-/// Counts the attempts that an entry VM reports for a pool of this VM.
+/// Records the running attempts that an entry VM reports for a pool of this VM.
 pub(super) fn adopt_attempts(
     tick: &mut Tick<'_>,
     sender: &Sender,
@@ -149,7 +149,7 @@
     }
 }
 
-/// Counts one attempt unless it is known.
+/// Records a reported attempt, unless it is already recorded on the same upstream.
 fn adopt_attempt(tick: &mut Tick<'_>, sender: &Sender, pool: &PoolKey, in_flight: InFlight) {
     let attempt = in_flight.attempt;
     if let Some(row) = tick.tables.pools.get_mut(pool) {
--- a/crates/core/src/systems/placement/hints.rs
+++ b/crates/core/src/systems/placement/hints.rs
@@ -1,4 +1,4 @@
-//! Cache hints and attained service of programs.
+//! Cache hints of programs and the service that they have attained.
 
 use super::super::Tick;
 use crate::config::Coordination;
@@ -6,10 +6,10 @@
 use crate::message::{Finish, Place};
 use crate::tables::{Footprint, Hint, Running, Timer};
 
-/// Prefixes shorter than this say little about how far hints can be trusted.
+/// Shortest expected prefix that counts as a sample of hint accuracy; shorter ones say little.
 const MEASURED_TOKENS: u64 = 500;
 
-/// Returns the key of the root program without copying the name of a root.
+/// Returns the key of a program's root; the name of a root is not copied.
 pub(super) fn root_of(program: &ProgramKey) -> ProgramKey {
     if program.name.root().len() == program.name.as_str().len() {
         program.clone()
@@ -18,7 +18,7 @@
     }
 }
 
-/// Estimates the tokens of a prompt that each hinted upstream has cached.
+/// Estimates how many prompt tokens each hinted upstream has cached.
 pub(super) fn expected<'a>(
     tick: &'a Tick<'_>,
     place: &'a Place,
@@ -30,7 +30,7 @@
     let hints = footprint.map_or(&[][..], |footprint| &footprint.hints);
     hints.iter().filter_map(|hint| {
         let row = tick.tables.upstreams.get(&hint.upstream)?;
-        // A program's calls of tools go to other upstreams than its turns.
+        // A hint may belong to another pool: tool calls of a program use other upstreams.
         let is_in_pool = row.pools.contains(&place.pool);
         if !is_in_pool || hint.at_us < row.health.cache_from_us {
             return None;
@@ -41,7 +41,7 @@
     })
 }
 
-/// Notes the end of an attempt in the footprint of its program.
+/// Records a complete attempt in the footprint of its program.
 pub(super) fn note(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     let Some(program) = &running.program else {
         return;
@@ -59,7 +59,7 @@
     measure(tick, running, finish);
 }
 
-/// Notes that another VM ran a turn of a program on an engine.
+/// Records that another VM ran a turn of a program on an engine.
 pub(crate) fn note_cached(
     tick: &mut Tick<'_>,
     program: &ProgramKey,
@@ -75,7 +75,7 @@
     touch(tick, program).note(hint);
 }
 
-/// Notes the tokens that a program had used before this VM knew it.
+/// Raises a program's attained tokens to those used before this VM tracked it.
 pub(super) fn carry(tick: &mut Tick<'_>, place: &Place) {
     let Some(program) = place.program.as_ref().filter(|_| place.spent_tokens > 0) else {
         return;
@@ -85,11 +85,11 @@
     row.attained_tokens = row.attained_tokens.max(place.spent_tokens);
 }
 
-/// Learns how far the hints of an upstream can be trusted.
+/// Updates an upstream's hint trust from the tokens that it found in its cache.
 fn measure(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
-    // Upstreams of relayed calls do not state what they found.
-    let is_stated = tick.settings.coordination == Coordination::Owners;
-    if running.expected_cached_tokens < MEASURED_TOKENS || !is_stated {
+    // Upstreams of relayed calls do not report cached tokens.
+    let is_reported = tick.settings.coordination == Coordination::Owners;
+    if running.expected_cached_tokens < MEASURED_TOKENS || !is_reported {
         return;
     }
     let Some(row) = tick.tables.upstreams.get_mut(&finish.upstream) else {
@@ -97,11 +97,11 @@
     };
     let found_percent = finish.cached_tokens * 100 / running.expected_cached_tokens;
     row.hint_trust_percent = (row.hint_trust_percent * 15 + found_percent.min(100)) / 16;
-    // A floor, or an upstream without hits would never be tried again.
+    // Without a lower bound, an upstream without hits would never be tried again.
     row.hint_trust_percent = row.hint_trust_percent.max(20);
 }
 
-/// Returns the footprint of a program, which is kept for another idle time.
+/// Returns the footprint of a program and restarts its idle time.
 fn touch<'a>(tick: &'a mut Tick<'_>, program: &ProgramKey) -> &'a mut Footprint {
     let now_us = tick.now_us;
     if !tick.tables.footprints.contains_key(program) {
@@ -117,7 +117,7 @@
     row
 }
 
-/// Forgets a program that has had no calls for the time of its lease.
+/// Removes the footprint of a program that has had no calls for a program lease.
 pub(super) fn expire(tick: &mut Tick<'_>, program: ProgramKey) {
     let Some(row) = tick.tables.footprints.get(&program) else {
         return;
--- a/crates/core/src/systems/placement/limits.rs
+++ b/crates/core/src/systems/placement/limits.rs
@@ -1,4 +1,4 @@
-//! What the owner of a pool learns about upstreams.
+//! Load, speed and concurrency limits of upstreams, as measured by the pool owner.
 
 use super::super::Tick;
 use super::listing;
@@ -7,13 +7,13 @@
 use crate::output::Decision;
 use crate::tables::{LimitReason, Running};
 
-/// Prompts shorter than this measure the network rather than the reading of tokens.
+/// Shortest prefill that counts as a speed sample; shorter ones mostly measure the network.
 const MEASURED_TOKENS: u64 = 500;
 
-/// Responses shorter than this say little about the time between tokens.
+/// Shortest response that counts as a decode sample; shorter ones say little about token time.
 const MEASURED_ANSWER_TOKENS: u64 = 8;
 
-/// Learns from a load report, which lags.
+/// Updates an upstream's load and limit from a load report, which lags.
 pub(super) fn report(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
@@ -33,7 +33,7 @@
     listing::wake(tick, upstream);
 }
 
-/// Learns from a complete attempt.
+/// Updates an upstream's speed and limit from a complete attempt.
 pub(super) fn finished(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     let now_us = tick.now_us;
     let target_us = tick.settings.token_target_ms * 1_000;
@@ -47,7 +47,7 @@
             .first_token_us
             .saturating_sub(running.prefill_wait_us);
         let ns_per_token = read_us * 1_000 / read_tokens;
-        // The wait before the prompt is estimated, so a sample may be far too high.
+        // The prefill wait is an estimate, so a sample may be far too high.
         let ns_per_token = ns_per_token.clamp(
             row.prefill_ns_per_token / 4,
             row.prefill_ns_per_token.saturating_mul(2),
@@ -64,7 +64,7 @@
     log_change(tick, &finish.upstream, from_calls, reason);
 }
 
-/// Logs a change of a limit.
+/// Logs a change of an upstream's concurrency limit.
 fn log_change(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
--- a/crates/core/src/systems/placement/listing.rs
+++ b/crates/core/src/systems/placement/listing.rs
@@ -1,11 +1,11 @@
-//! Keeps the open sets of pools up to date and wakes waiting calls.
+//! Keeps the open sets of pools up to date and assigns waiting calls to free upstreams.
 
 use super::super::Tick;
 use super::{order, owner};
 use crate::ids::{ContentDigest, PoolKey, UpstreamName};
 use crate::tables::Waiting;
 
-/// Lists an upstream in the open sets of its pools according to its present load.
+/// Updates the entries of an upstream in the open sets of its pools from its current load.
 pub(crate) fn list(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let is_learned = tick.settings.policy.learned_limit;
     let tables = &mut *tick.tables;
@@ -34,7 +34,7 @@
     row.listed = listed;
 }
 
-/// Lists an upstream whose state changed and assigns waiting calls to it.
+/// Updates the availability of an upstream and assigns waiting calls of its pools.
 pub(crate) fn wake(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let Some(row) = tick.tables.upstreams.get(upstream) else {
         return;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Puts a call in the ordered queue.
+/// Adds a call to the ordered queue of its pool.
 pub(super) fn push(tick: &mut Tick<'_>, waiting: Waiting) {
     let lane = order::lane_of(tick, &waiting.place.account);
     let rank = order::rank(tick, &waiting.place, waiting.arrived_us);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Puts the calls that were held for a content back in the queue.
+/// Moves the calls that were held for a content back to the queue.
 pub(crate) fn release_held(tick: &mut Tick<'_>, pool: &PoolKey, digest: &ContentDigest) {
     let Some(row) = tick.tables.pools.get_mut(pool) else {
         return;
--- a/crates/core/src/systems/placement/mod.rs
+++ b/crates/core/src/systems/placement/mod.rs
@@ -1,4 +1,7 @@
-//! Queues calls and chooses upstreams.
+//! Queues calls and assigns them to upstreams.
+//!
+//! The entry VM of a call requests an upstream from the owner of the call's
+//! pool, which queues the call and selects the upstream.
 
 mod alone;
 mod choice;
@@ -19,11 +22,13 @@
 use crate::message::PlacementMessage;
 use crate::tables::Timer;
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
+    /// Calls whose next attempt may start.
     pub calls: Vec<CallId>,
     pub messages: Vec<(Sender, PlacementMessage)>,
+    /// Running calls and tokens per second that upstreams report.
     pub loads: Vec<(UpstreamName, u32, u64)>,
     pub due: Vec<Timer>,
     pub config_changed: bool,
@@ -39,7 +44,7 @@
     }
 }
 
-/// Runs the system.
+/// Processes the collected input, changes of the configuration and the view first.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.placement);
     if work.config_changed {
@@ -62,7 +67,7 @@
     }
 }
 
-/// Handles a due timer.
+/// Handles an expired timer.
 fn handle_due(tick: &mut Tick<'_>, timer: Timer) {
     match timer {
         Timer::QueueWait(attempt) => entry::expire(tick, attempt),
@@ -76,7 +81,7 @@
     }
 }
 
-/// Handles a message of an entry VM or of the owner of a pool.
+/// Handles a message from an entry VM or from the owner of a pool.
 fn handle(tick: &mut Tick<'_>, sender: &Sender, message: PlacementMessage) {
     match message {
         PlacementMessage::Place(place) => owner::enqueue(tick, sender, *place),
--- a/crates/core/src/systems/placement/order.rs
+++ b/crates/core/src/systems/placement/order.rs
@@ -1,4 +1,4 @@
-//! The order of calls in a queue and the service booked for accounts.
+//! Rank of calls in a queue and the service booked for accounts.
 
 use super::super::Tick;
 use crate::config::PolicyPreset;
@@ -6,22 +6,22 @@
 use crate::message::Place;
 use crate::tables::{LaneOrder, Rank};
 
-/// How far an account may fall behind under the preset `Latency`, in service units.
+/// Largest service lag of an account under the preset `Latency`, in service units.
 ///
-/// About ten seconds of eight engines: enough to let short programs of other
-/// accounts pass, and less than half of the longest wait of a call.
+/// About ten seconds of eight engines: enough for short programs of other
+/// accounts to go first, and less than half of the longest wait of a call.
 const FALL_BEHIND: u64 = 4_000_000;
 
-/// Service of one token of a response, in prompt tokens read.
+/// Service of one response token, in prompt tokens read.
 ///
-/// A decode step is shared by the batch but takes far longer than the
-/// reading of one token.
+/// A decode step is shared by the batch but takes far longer than the prefill
+/// of one token.
 pub(super) const ANSWER_WEIGHT: u64 = 30;
 
-/// Attained service below which all programs are alike.
+/// Attained tokens below which all programs rank equally.
 const LEVEL_TOKENS: u64 = 8_192;
 
-/// Returns how the accounts of a queue take turns.
+/// Returns the order in which a queue serves its accounts.
 pub(super) fn lane_order(tick: &Tick<'_>) -> LaneOrder {
     match tick.settings.preset {
         PolicyPreset::FairShare => LaneOrder::LeastServed,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns the lane of a call.
+/// Returns the queue lane of an account; without fair sharing there is only one.
 pub(super) fn lane_of(tick: &Tick<'_>, account: &Option<AccountName>) -> Option<AccountName> {
     if tick.settings.policy.fair_sharing {
         account.clone()
@@ -38,13 +38,14 @@
     }
 }
 
-/// Returns the position of a call among those of its account.
+/// Returns the rank of a call among those of its account.
 ///
-/// The attained service of the whole program counts, sub-agents included, in
-/// levels that double. Within a level the earlier call goes first, so that
-/// the sub-agents of a program stay together instead of passing each other
-/// with each call. A call that has waited for three quarters of the longest wait goes
-/// first, or a long program would be refused under load.
+/// A call with a priority ranks by it. Other calls rank by the attained tokens
+/// of the whole program, sub-agents included, in levels that double. Within a
+/// level the earlier call goes first, so that the sub-agents of a program stay
+/// together instead of overtaking each other with each call. A call that has
+/// waited for three quarters of the longest wait goes first; otherwise long
+/// programs would be refused under load.
 pub(super) fn rank(tick: &Tick<'_>, place: &Place, arrived_us: u64) -> Rank {
     if let Some(priority) = place.priority {
         return Rank {
@@ -71,7 +72,7 @@
     arrived_us + tick.settings.queue_ms * 750
 }
 
-/// Returns the tokens of the whole program so far.
+/// Returns the tokens that a call's whole program has used so far.
 fn attained_tokens(tick: &Tick<'_>, place: &Place) -> u64 {
     let Some(program) = &place.program else {
         return 0;
@@ -82,17 +83,17 @@
     known_tokens.max(place.spent_tokens)
 }
 
-/// Returns the level of an attained service.
+/// Returns the level of an amount of tokens; each level is twice as wide as the one before.
 fn level(tokens: u64) -> u64 {
     u64::from((tokens / LEVEL_TOKENS + 1).ilog2())
 }
 
-/// Returns the service of a call in prompt tokens read.
+/// Returns the service of a call in service units (prompt tokens read).
 pub(super) fn service(prompt_tokens: u64, cached_tokens: u64, answer_tokens: u64) -> u64 {
     prompt_tokens.saturating_sub(cached_tokens) + ANSWER_WEIGHT * answer_tokens
 }
 
-/// Weights a service with the weight of the account.
+/// Divides a service by the weight of its account.
 pub(super) fn weighted(tick: &Tick<'_>, account: &Option<AccountName>, service: u64) -> u64 {
     let row = account
         .as_ref()
--- a/crates/core/src/systems/placement/owner.rs
+++ b/crates/core/src/systems/placement/owner.rs
@@ -1,4 +1,4 @@
-//! The pool owner's side of a placement.
+//! The pool owner's side of placement: queues calls and assigns them to upstreams.
 
 use smallvec::SmallVec;
 
@@ -11,13 +11,13 @@
 use crate::output::{PlacementReason, RefusalKind};
 use crate::tables::{Running, Suspect, Timer, Waiting};
 
-/// Interval at which the entry VM of a running attempt is asked about it.
+/// Interval at which entry VMs are asked whether their attempts still run.
 const CHECK_US: u64 = 5_000_000;
 
-/// Tokens of a response before any has been measured.
+/// Expected tokens of a response before any has been measured.
 const ANSWER_TOKENS: u64 = 200;
 
-/// Puts a call in the queue of its pool; a repeated request gets the same answer.
+/// Queues a call in its pool; a repeated request gets the same answer.
 pub(super) fn enqueue(tick: &mut Tick<'_>, sender: &Sender, mut place: Place) {
     let attempt = place.attempt;
     if let Some(ended) = place.ended.take() {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Plans to move a call that still waits to the front of its account.
+/// Schedules the move of a queued call to the front of its account.
 fn age(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     let row = tick.tables.pools.get(pool);
     if row.is_some_and(|row| row.queue.get(&attempt).is_some()) {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Moves a call that has waited for long to the front of its account.
+/// Queues a call again whose age now ranks it at the front of its account.
 pub(super) fn advance(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     let row = tick.tables.pools.get_mut(pool);
     if let Some(waiting) = row.and_then(|row| row.queue.remove(attempt)) {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Names the upstream of a running attempt again.
+/// Resends the assignment of a running attempt to its entry VM.
 fn repeat_placed(tick: &mut Tick<'_>, attempt: AttemptId) {
     let Some(running) = tick.tables.running.get(&attempt) else {
         return;
@@ -87,9 +87,9 @@
 
 /// Asks the entry VM of an attempt whether it still runs.
 ///
-/// `Placed` for a call that no longer waits or runs is answered with its end,
-/// so an attempt placed after a late or doubled request is freed even if the
-/// first `Placed` was lost.
+/// The entry VM answers `Placed` with a finish report if the call no longer
+/// waits or runs. This releases an attempt that was placed for a late or
+/// duplicate request even if the first `Placed` was lost.
 pub(super) fn check_running(tick: &mut Tick<'_>, attempt: AttemptId) {
     if !tick.tables.running.contains_key(&attempt) {
         return;
@@ -99,14 +99,14 @@
     tick.tables.timers.set(due_us, Timer::RunningCheck(attempt));
 }
 
-/// Assigns waiting calls while an upstream has room.
+/// Assigns waiting calls of a pool while upstreams have room.
 pub(super) fn assign(tick: &mut Tick<'_>, pool: &PoolKey) {
     alone::assign(tick, pool);
     alone::unreserve(tick, pool);
     while assign_next(tick, pool) {}
 }
 
-/// Assigns the first call that can run; returns whether there was one.
+/// Takes the first call that can be decided out of the queue; returns whether there was one.
 fn assign_next(tick: &mut Tick<'_>, pool: &PoolKey) -> bool {
     let Some(row) = tick.tables.pools.get(pool) else {
         return false;
@@ -138,7 +138,9 @@
     false
 }
 
-/// Takes a call out of the queue whose content must not run now.
+/// Takes a call out of the queue if its content is quarantined, held or must run alone.
+///
+/// Returns whether it did.
 fn gate(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) -> bool {
     if tick.tables.suspects.is_empty() && tick.tables.quarantine.is_empty() {
         return false;
@@ -170,7 +172,7 @@
     true
 }
 
-/// Tells the entry VM of a call that it gets no upstream.
+/// Tells the entry VM of a call that it will not be placed.
 pub(super) fn refuse(tick: &mut Tick<'_>, waiting: Waiting, kind: RefusalKind) {
     let unplaced = PlacementMessage::Unplaced {
         attempt: waiting.place.attempt,
@@ -179,7 +181,7 @@
     tick.send(&waiting.vm, unplaced);
 }
 
-/// Books a call on an upstream and tells its entry VM.
+/// Records a call as running on an upstream and sends the assignment to its entry VM.
 pub(super) fn place(tick: &mut Tick<'_>, waiting: Waiting, chosen: Chosen, alone: bool) {
     let now_us = tick.now_us;
     let place = waiting.place;
@@ -220,11 +222,11 @@
     if tick.settings.policy.upstream_choice == UpstreamChoice::RoundRobin
         && let Some(row) = tick.tables.pools.get_mut(&place.pool)
     {
-        let at = row
+        let position = row
             .upstreams
             .iter()
             .position(|name| *name == chosen.upstream);
-        row.next = at.map_or(0, |at| at + 1);
+        row.next = position.map_or(0, |position| position + 1);
     }
     listing::list(tick, &chosen.upstream);
     let placed = PlacementMessage::Placed {
@@ -256,7 +258,7 @@
     booked
 }
 
-/// Removes a call that waits, or frees its upstream if it was just placed.
+/// Removes a waiting call, or releases its upstream if it was placed in the meantime.
 pub(super) fn withdraw(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     if let Some(row) = tick.tables.pools.get_mut(pool) {
         row.forget(attempt);
@@ -278,9 +280,9 @@
     finish(tick, &unused);
 }
 
-/// Frees the upstream of an attempt that has ended and learns from it.
+/// Releases the upstream of an attempt that has ended and records the result.
 ///
-/// A repeated report changes nothing, because the attempt is no longer listed.
+/// A repeated report has no effect, because the attempt is no longer in `running`.
 pub(super) fn finish(tick: &mut Tick<'_>, finish: &Finish) {
     let Some(running) = tick.tables.running.remove(&finish.attempt) else {
         return;
@@ -299,7 +301,7 @@
     listing::wake(tick, &running.upstream);
 }
 
-/// Takes an attempt off its upstream.
+/// Removes an attempt from its upstream and ends its reservation.
 pub(super) fn release(tick: &mut Tick<'_>, attempt: AttemptId, running: &Running) {
     if let Some(row) = tick.tables.upstreams.get_mut(&running.upstream) {
         row.attempts.remove(&attempt);
@@ -317,11 +319,11 @@
     }
 }
 
-/// Replaces the service booked for an account by what it received.
+/// Replaces the service booked for an attempt by the service it received.
 fn settle_service(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     let lane = order::lane_of(tick, &running.account);
-    let is_run = matches!(finish.result, AttemptResult::Complete);
-    let prompt_tokens = if is_run { finish.prompt_tokens } else { 0 };
+    let is_complete = matches!(finish.result, AttemptResult::Complete);
+    let prompt_tokens = if is_complete { finish.prompt_tokens } else { 0 };
     let service = order::service(prompt_tokens, finish.cached_tokens, finish.answer_tokens);
     let received = order::weighted(tick, &running.account, service);
     let Some(row) = tick.tables.pools.get_mut(&running.pool) else {
@@ -332,7 +334,7 @@
     } else {
         row.queue.unserve(&lane, running.booked - received);
     }
-    if is_run {
+    if is_complete {
         let mean = if row.answer_tokens == 0 {
             finish.answer_tokens
         } else {
@@ -342,7 +344,7 @@
     }
 }
 
-/// Learns from the result of an attempt.
+/// Updates health, limits and cache hints from the result of an attempt.
 fn learn(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     match finish.result {
         AttemptResult::Complete => {
@@ -361,7 +363,7 @@
     }
 }
 
-/// Returns the crashes in which a content was seen.
+/// Returns the number of crashes during which a call's content was running.
 pub(super) fn crashes(tick: &Tick<'_>, waiting: &Waiting) -> u32 {
     let suspect = tick.tables.suspects.get(&waiting.place.digest);
     suspect.map_or(Suspect::ALONE_CRASHES, |suspect| suspect.crashes)
