--- a/crates/core/src/systems/rates/calls.rs
+++ b/crates/core/src/systems/rates/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that take from this VM's share or wait for it.
+//! Admission of calls from this VM's share of their account's rate.
 
 use super::super::{Tick, admission};
 use super::holder;
@@ -9,27 +9,27 @@
 /// Billionths of a call in a thousandth.
 const NCALLS_PER_MCALL: u64 = 1_000_000;
 
-/// Time to wait before a resend if the share gives no hint.
+/// `retry-after` of a refused call if the share's next refill is unknown.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Shortest time to wait before a relayed call is sent again; its caller does so only once.
+/// Lowest `retry-after` of a relayed call, whose caller retries only once.
 const RELAY_RETRY_AFTER_MS: u64 = 300;
 
-/// Part of its objective that a call which begins a program waits for its rate at most.
+/// A call that begins a program waits at most its route's objective divided by this.
 const BEGIN_WAIT_PART: u64 = 5;
 
-/// Part of the time of a relayed call that it waits for its rate at most: one in this many.
+/// A relayed call waits at most the time to its deadline divided by this.
 const RELAY_WAIT_PART: u64 = 4;
 
-/// Part of the usual wait that a call waits on while its VM gathers a call: one in this many.
+/// A call whose rate refills soon waits longer by `rate_wait_ms` divided by this.
 const REFILL_WAIT_PART: u64 = 2;
 
-/// Longest wait of a call while the account's owner does not answer or takes over.
+/// Longest wait of a call while the account's owner does not answer or is taking over.
 ///
-/// A takeover after a crash takes suspicion, lease and grant: 2 s + 1.1 x 6 s.
+/// A takeover after a crash lasts for suspicion, lease and grant: 2 s + 1.1 x 6 s.
 const OWNER_WAIT_US: u64 = 10_000_000;
 
-/// Takes one call from the account's share or lets the call wait.
+/// Admits a call if its account's share holds one, or else enqueues it.
 pub(super) fn request(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let Some(account) = account_of(tick, id) else {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Looks at an account again at the time its bucket was expected to hold a call.
+/// Admits waiting calls once the bucket is expected to hold a call again.
 pub(super) fn refilled(tick: &mut Tick<'_>, account: &AccountName) {
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
@@ -67,16 +67,16 @@
     wait(tick, account);
 }
 
-/// Returns when a call has waited for long enough.
+/// Returns when the wait of a call for its rate times out.
 ///
-/// A relayed call is refused early enough for its caller to ask again.
+/// A relayed call times out early enough for its caller to retry.
 fn wait_end_us(tick: &Tick<'_>, id: CallId) -> u64 {
     let mut wait_us = tick.settings.rate_wait_ms * 1_000;
     let call = tick.tables.calls.get(&id);
     if let Some((call, relay)) = call.and_then(|call| Some((call, call.relay.as_ref()?))) {
         let left_us = relay.deadline_us.saturating_sub(tick.now_us);
         wait_us = wait_us.min(left_us / RELAY_WAIT_PART);
-        // The caller of a program that has not begun may as well come back later.
+        // Refusing the first call of a program loses no earlier turns, so it can be retried later.
         if call.begins_program {
             wait_us = wait_us.min(relay.route.objective_ms * 1_000 / BEGIN_WAIT_PART);
         }
@@ -84,7 +84,7 @@
     tick.now_us + wait_us
 }
 
-/// Admits waiting calls while the share holds calls; those that begin a program come last.
+/// Admits waiting calls while the share holds calls, those that begin a program last.
 pub(super) fn serve(tick: &mut Tick<'_>, account: &AccountName) {
     serve_queue(tick, account, false);
     let others = tick.tables.shares.get(account);
@@ -93,7 +93,7 @@
     }
 }
 
-/// Admits calls of one queue while the share holds calls.
+/// Admits calls from the front of one queue while the share holds calls.
 fn serve_queue(tick: &mut Tick<'_>, account: &AccountName, begins: bool) {
     let now_us = tick.now_us;
     loop {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Plans what has to happen while calls wait.
+/// Schedules the next attempt to admit waiting calls, and requests a grant if it is needed.
 pub(super) fn wait(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Moves an admitted call on.
+/// Counts and logs an admitted call and moves it to its next stage.
 fn admit(tick: &mut Tick<'_>, id: CallId, account: &AccountName) {
     let arrived_us = tick.tables.calls.get(&id).map_or(0, |call| call.arrived_us);
     tick.tables.peering.count_admitted(account);
@@ -150,7 +150,7 @@
     admission::enter(tick, id, Stage::Home);
 }
 
-/// Refuses a call that has waited too long.
+/// Refuses a call whose wait has timed out, or extends the wait.
 pub(super) fn expire(tick: &mut Tick<'_>, id: CallId) {
     if !is_waiting(tick, id) {
         return;
@@ -188,7 +188,7 @@
     skip_gone(tick, &account, begins);
 }
 
-/// Logs what the bucket held when it had no room for a call.
+/// Logs the state of the bucket for a call that is refused as over its account's rate.
 fn report_no_room(tick: &mut Tick<'_>, call: CallId, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get(account) else {
@@ -207,9 +207,9 @@
     });
 }
 
-/// Returns until when a call waits on for an owner that does not answer or takes over.
+/// Returns the extended end of the wait if the owner does not answer or is taking over.
 ///
-/// Until then, nobody knows that the account is over its rate.
+/// Without a share of a settled owner, it is unknown whether the account is over its rate.
 fn owner_wait_us(tick: &Tick<'_>, id: CallId, account: &AccountName) -> Option<u64> {
     let share = tick.tables.shares.get(account)?;
     let until_us = tick.tables.calls.get(&id)?.arrived_us + OWNER_WAIT_US;
@@ -220,9 +220,9 @@
     (is_unknown && tick.now_us < until_us).then_some(until_us)
 }
 
-/// Returns until when a call waits on because this VM gathers a call for it soon.
+/// Returns the extended end of the wait if the bucket soon holds a call for the first in line.
 ///
-/// Refused now, its caller would come back at about the time at which the call is admitted.
+/// If refused, its caller would retry at about the time at which the call is admitted.
 fn refill_wait_us(tick: &Tick<'_>, id: CallId, account: &AccountName) -> Option<u64> {
     let share = tick.tables.shares.get(account)?;
     if share.pooled.is_some() || share.waiting.front() != Some(&id) {
@@ -234,7 +234,7 @@
     (ready_us <= last_us).then_some(ready_us)
 }
 
-/// Removes calls from the head of the queue that were refused or abandoned.
+/// Removes refused and abandoned calls from the front of a queue.
 fn skip_gone(tick: &mut Tick<'_>, account: &AccountName, begins: bool) {
     let tables = &mut *tick.tables;
     let Some(share) = tables.shares.get_mut(account) else {
@@ -249,7 +249,7 @@
     }
 }
 
-/// Returns whether a call still waits for its rate.
+/// Returns whether a call still waits for its account's rate.
 fn is_waiting(tick: &Tick<'_>, id: CallId) -> bool {
     tick.tables
         .calls
@@ -257,7 +257,7 @@
         .is_some_and(|call| call.stage == Stage::Rate)
 }
 
-/// Returns the account of a call.
+/// Returns the account that is charged for a call; `None` on a route that is open to all.
 fn account_of(tick: &Tick<'_>, id: CallId) -> Option<AccountName> {
     tick.tables.calls.get(&id)?.account.clone()
 }
--- a/crates/core/src/systems/rates/division.rs
+++ b/crates/core/src/systems/rates/division.rs
@@ -1,26 +1,28 @@
-//! How an owner divides the rate and burst of an account.
+//! Allocation of an account's rate and burst to the holders of its shares.
 
 use crate::message::Demand;
 use crate::tables::{Lending, Limits, Loan, NCALLS_PER_CALL};
 
-/// Smallest weight of a holder with demand, as a part of the account's rate.
+/// The lowest weight of a holder is the account's rate divided by this.
 ///
-/// 2%, as in section 4.5 of `docs/design.md`.
+/// This is 2%, as in section 4.5 of `docs/design.md`.
 const SMALLEST_PART: u64 = 50;
 
-/// A share that is larger than its target by less than this part is left as it is.
+/// A share that exceeds its target by at most its size divided by this isn't shrunk.
 ///
-/// Without it, each small change of demand would shrink some shares and need a confirmation.
+/// Without this hysteresis, each small change of demand would shrink some shares, and each
+/// shrunk share needs a confirmation.
 const STEADY_PART: u64 = 8;
 
-/// Returns the weight of a holder: its offered rate and the calls that wait.
+/// Returns the weight of a holder: its offered rate, plus the rate that admits its waiting calls
+/// within a second.
 pub(super) fn weight(demand: &Demand, rate_mcalls_per_s: u64) -> u64 {
     let waiting_mcalls_per_s = demand.waiting_calls.saturating_mul(1_000);
     let wanted = demand.wanted_mcalls_per_s + waiting_mcalls_per_s;
     wanted.max(rate_mcalls_per_s / SMALLEST_PART).max(1)
 }
 
-/// Returns the part of an account that a holder should have.
+/// Returns a holder's share of the account's rate and burst in proportion to its weight.
 pub(super) fn target(row: &Lending, loan: &Loan) -> Limits {
     Limits {
         rate_mcalls_per_s: scale(row.limits.rate_mcalls_per_s, loan.weight, row.weight),
@@ -28,15 +30,16 @@
     }
 }
 
-/// Returns what the next grant says: the target, as far as enough is free.
+/// Returns the limits of the next grant: the target, capped by what isn't lent to others.
 ///
-/// A share that could not hold a single call is not lent; its holder gets
-/// calls one by one from what is not lent.
+/// A share whose burst is below one call isn't lent; its holder receives single calls from the
+/// reserve instead.
 pub(super) fn next(row: &Lending, loan: &Loan) -> Limits {
     let target = target(row, loan);
     let counted = loan.counted();
     let keeps = !row.is_over_limits();
-    // The calls that come back with a confirmation need the burst that a smaller grant freed.
+    // While a grant is unconfirmed, the burst that it frees is kept for the calls that return
+    // with the confirmation.
     let most_ncalls = if loan.open_grants.len() > 1 {
         loan.granted.burst_ncalls
     } else {
@@ -62,9 +65,9 @@
     next
 }
 
-/// Returns what a grant says that asks calls back.
+/// Returns the limits of a grant that recalls some calls.
 ///
-/// The burst shrinks by as much, so that it is free for the calls that come back.
+/// The burst shrinks by as much, so that the reserve can hold the calls that are returned.
 pub(super) fn recalled(row: &Lending, loan: &Loan, recall_ncalls: u64) -> Limits {
     let next = next(row, loan);
     let granted_ncalls = loan.granted.burst_ncalls;
@@ -75,17 +78,17 @@
     }
 }
 
-/// Moves from what was granted towards a target.
+/// Returns the target, or `granted` if that is only slightly higher, but no more than `most`.
 fn step(target: u64, granted: u64, most: u64, keeps: bool) -> u64 {
     let is_near = target <= granted && granted - target <= granted / STEADY_PART;
     let next = if keeps && is_near { granted } else { target };
     next.min(most)
 }
 
-/// Returns how many calls move to a holder with a grant.
+/// Returns how much of the reserve's level moves to a holder with its next grant.
 ///
-/// Calls that wait come first. Besides, the holder gets its part of the calls
-/// that have gathered, and as many as belong to the burst that it gets.
+/// It covers the holder's waiting calls, its weighted part of the reserve as far as its bucket
+/// has room, and the part of the reserve that belongs to its additional burst.
 pub(super) fn calls(row: &Lending, loan: &Loan, next: Limits, now_us: u64) -> u64 {
     let level_ncalls = loan.level_at_ncalls(now_us);
     let free_ncalls = row.reserve.level_ncalls;
@@ -100,7 +103,8 @@
         .min(free_ncalls)
 }
 
-/// Returns the calls that let waiting calls run, in whole calls with the holder's own.
+/// Returns what the holder lacks to admit as many waiting calls as its level and the free calls
+/// together allow.
 fn needed(loan: &Loan, level_ncalls: u64, free_ncalls: u64) -> u64 {
     let wanted_ncalls = loan.waiting_calls.saturating_mul(NCALLS_PER_CALL);
     let reached_ncalls = wanted_ncalls.min(level_ncalls + free_ncalls);
--- a/crates/core/src/systems/rates/holder.rs
+++ b/crates/core/src/systems/rates/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side: demands, grants, confirmations and release.
+//! The holder of a share: sends demands, applies and confirms grants, and releases idle shares.
 
 use super::super::Tick;
 use super::calls;
@@ -6,29 +6,30 @@
 use crate::message::{Demand, DemandKind, Grant, HeldShare, RatesMessage};
 use crate::tables::{Bucket, Held, Share, Timer};
 
-/// Time after the last call for which a share is kept; section 4.5 of `docs/design.md`.
+/// Time after the last call at which a share is released; see section 4.5 of `docs/design.md`.
 const IDLE_US: u64 = 5_000_000;
 
-/// Renewals within the time of a grant.
+/// Renewals of a share within the validity of a grant.
 ///
-/// When an owner dies, grants last for at least 7/8 of `grant_ms`, 2.6 s, and suspicion takes
-/// 2 s. With 3 renewals, most shares ended before the new owner could adopt them.
+/// With 8, grants outlive a crashed owner by at least 7/8 of `grant_ms`, 2.6 s, and suspicion
+/// takes 2 s. With 3, most shares expired before the new owner could adopt them.
 const RENEWALS: u64 = 8;
 
-/// A call that gets its rate from this VM's own bucket within this time sends no demand.
+/// No demand is sent for a call that this VM's own bucket admits within this time, or within
+/// this time of the last one.
 ///
-/// About two round trips between failure domains, so asking would not be faster.
+/// This is about two round trips between failure domains, so a demand would not be faster.
 const SOON_US: u64 = 5_000;
 
-/// Pause before a demand is repeated while calls wait.
+/// Initial pause before a demand is resent while calls wait.
 ///
-/// Several round trips, so that only lost messages cause a repetition.
+/// This is several round trips, so that only lost messages cause a resend.
 const FIRST_RETRY_US: u64 = 20_000;
 
-/// Longest pause before a demand is repeated while calls wait.
+/// Longest pause before a demand is resent while calls wait.
 const MAX_RETRY_US: u64 = 500_000;
 
-/// Brings the share of an account in line with its published limits.
+/// Caps the share of an account at its published limits.
 pub(super) fn limits_changed(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let tables = &mut *tick.tables;
@@ -43,7 +44,7 @@
     bucket.refill(now_us);
 }
 
-/// Asks for calls when some wait, unless a demand is under way.
+/// Requests a grant for waiting calls unless they are admitted soon or a demand is in flight.
 pub(super) fn starve(tick: &mut Tick<'_>, account: &AccountName, ready_us: Option<u64>) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
@@ -62,7 +63,7 @@
     ask(tick, account);
 }
 
-/// Asks for a grant and plans the next demand.
+/// Sends a demand for a grant and schedules the next one.
 pub(super) fn ask(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let renew_us = tick.settings.grant_ms * 1_000 / RENEWALS;
@@ -82,7 +83,7 @@
     plan_ask(tick, account, due_us);
 }
 
-/// Renews the share, asks again, or gives an idle share up.
+/// Renews the share or resends the demand, or releases a share that is idle.
 pub(super) fn ask_due(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Gives a share up with all its calls.
+/// Releases a share and returns the calls in its bucket to the owner.
 fn release(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
@@ -118,7 +119,7 @@
     }
 }
 
-/// Sends a demand to the owner.
+/// Sends a demand with the state of this VM's share to the account's owner.
 fn send(tick: &mut Tick<'_>, account: &AccountName, kind: DemandKind) {
     let now_us = tick.now_us;
     let epoch = tick.tables.view.epoch;
@@ -147,7 +148,7 @@
     tick.send(&owner, RatesMessage::Demand(Box::new(demand)));
 }
 
-/// Describes a share for its owner.
+/// Returns the state of a share as it is reported to the owner.
 fn report(held: &Held, bucket: &Bucket) -> HeldShare {
     HeldShare {
         id: held.id,
@@ -160,7 +161,7 @@
     }
 }
 
-/// Returns the owner of an account; works it out once for each view.
+/// Returns the owner of an account, which is computed once for each view.
 pub(super) fn owner_of(tick: &mut Tick<'_>, account: &AccountName) -> Option<VmName> {
     let tables = &mut *tick.tables;
     let epoch = tables.view.epoch;
@@ -175,7 +176,7 @@
     Some(owner)
 }
 
-/// Applies a grant unless it is old, repeated or not for this VM.
+/// Applies a grant unless it is expired, outdated or for another incarnation.
 pub(super) fn granted(tick: &mut Tick<'_>, grant: &Grant) {
     let now_us = tick.now_us;
     let is_current = grant.holder == tick.settings.incarnation
@@ -192,7 +193,7 @@
     let deposit_ncalls = deposit(share, grant, now_us);
     calls::serve(tick, &grant.account);
     let returned_ncalls = settle(tick, grant, before.burst_ncalls);
-    // The owner counts more than it granted until it hears that the grant was applied.
+    // The owner counts the larger of both grants as lent until the smaller one is confirmed.
     let is_smaller = grant.rate_mcalls_per_s < before.rate_mcalls_per_s
         || grant.burst_ncalls < before.burst_ncalls + deposit_ncalls;
     if is_smaller || returned_ncalls > 0 {
@@ -201,7 +202,7 @@
     calls::wait(tick, &grant.account);
 }
 
-/// Returns whether a grant is newer than what is held.
+/// Returns whether a grant is newer than the one in force.
 fn is_next(share: &Share, grant: &Grant) -> bool {
     match &share.held {
         Some(held) if held.id == grant.id => grant.seq > held.applied_seq,
@@ -209,9 +210,9 @@
     }
 }
 
-/// Takes over the rate of a grant and deposits the calls that came with it.
+/// Applies the rate of a grant and deposits the calls that came with it.
 ///
-/// The burst is lifted until [`settle`], so that calls that wait can use all of them.
+/// The burst is not enforced before [`settle`], so that waiting calls can use all of them.
 fn deposit(share: &mut Share, grant: &Grant, now_us: u64) -> u64 {
     let is_same = share.held.is_some_and(|held| held.id == grant.id);
     if !is_same {
@@ -239,7 +240,7 @@
     deposit_ncalls
 }
 
-/// Sets the burst of a grant and gives back what is over it or asked back.
+/// Applies the burst of a grant; returns how many calls go back as excess or recalled.
 fn settle(tick: &mut Tick<'_>, grant: &Grant, before_burst_ncalls: u64) -> u64 {
     let tables = &mut *tick.tables;
     let limits = tables.accounts.get(&grant.account).map(|row| row.limits());
@@ -252,7 +253,7 @@
     let bucket = &mut share.bucket;
     bucket.rate_mcalls_per_s = grant.rate_mcalls_per_s.min(limits.rate_mcalls_per_s);
     bucket.burst_ncalls = grant.burst_ncalls.min(limits.burst_ncalls);
-    // Grants that shrink one after another must not take from a call what it waits for.
+    // A series of shrinking grants must not take away the fraction that a waiting call has gained.
     let kept_ncalls = if share.waiting.is_empty() {
         kept(
             bucket.level_ncalls,
@@ -274,10 +275,10 @@
     over_ncalls + recalled_ncalls
 }
 
-/// Returns how many calls stay in a bucket whose burst changes.
+/// Returns the level of a bucket whose burst changes.
 ///
-/// A smaller bucket stays as full as it was: calls in a bucket that is full
-/// would cost the calls that its rate adds.
+/// A bucket that shrinks keeps its level in proportion: if it were full, the calls that its rate
+/// adds would be lost.
 fn kept(level_ncalls: u64, before_ncalls: u64, burst_ncalls: u64) -> u64 {
     if burst_ncalls >= before_ncalls {
         return level_ncalls.min(burst_ncalls);
@@ -287,7 +288,7 @@
     u64::try_from(kept).unwrap_or(burst_ncalls)
 }
 
-/// Sets the timer of the next demand unless an earlier one runs.
+/// Schedules the next demand unless one is scheduled for an earlier time.
 fn plan_ask(tick: &mut Tick<'_>, account: &AccountName, due_us: u64) {
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
--- a/crates/core/src/systems/rates/mod.rs
+++ b/crates/core/src/systems/rates/mod.rs
@@ -1,8 +1,9 @@
-//! Shares of the rate and burst of client accounts.
+//! Rate limits of client accounts.
 //!
-//! `calls` admits calls from this VM's share, `holder` asks for shares and
-//! applies grants, `owner` lends, `division` works out how much, and
-//! `takeover` changes owners.
+//! The owner of an account lends shares of its rate and burst to the VMs that receive its calls.
+//! `calls` admits calls from this VM's share, `holder` requests shares and applies grants,
+//! `owner` lends shares, `division` computes their size, and `takeover` handles a change of
+//! owner. In a fleet without owners, `pooled` keeps a copy of every bucket on each VM instead.
 
 mod calls;
 mod division;
@@ -19,10 +20,12 @@
 use crate::message::RatesMessage;
 use crate::tables::Timer;
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
+    /// Accounts whose published limits have changed.
     pub accounts: Vec<AccountName>,
+    /// New calls that count against their account's rate.
     pub calls: Vec<CallId>,
     pub messages: Vec<(Sender, RatesMessage)>,
     pub due: Vec<Timer>,
@@ -37,7 +40,7 @@
     }
 }
 
-/// Runs the system.
+/// Applies changed limits, then handles messages, due timers and new calls.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let is_owned = tick.settings.coordination == Coordination::Owners;
     if is_owned {
@@ -63,7 +66,7 @@
     }
 }
 
-/// Handles a message.
+/// Dispatches a message of another VM, or of this one, by its type.
 fn handle(tick: &mut Tick<'_>, sender: Sender, message: RatesMessage) {
     match message {
         RatesMessage::Demand(demand) => owner::demanded(tick, sender, &demand),
@@ -77,7 +80,7 @@
     }
 }
 
-/// Handles a timer that is due.
+/// Dispatches a due timer.
 fn handle_due(tick: &mut Tick<'_>, timer: Timer) {
     match timer {
         Timer::RateRefill(account) => calls::refilled(tick, &account),
--- a/crates/core/src/systems/rates/owner.rs
+++ b/crates/core/src/systems/rates/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side: lending, taking back, and calls for holders that wait.
+//! The owner of an account: lends shares, recalls calls, and serves holders whose calls wait.
 
 use smallvec::SmallVec;
 
@@ -9,40 +9,40 @@
 use crate::message::{Demand, DemandKind, Grant, RatesMessage, ShareId};
 use crate::tables::{Holder, Lending, Loan, NCALLS_PER_CALL, Timer};
 
-/// Holders that are asked to give calls back for one demand.
+/// Most holders from which calls are recalled, or whose shares are shrunk, for one demand.
 ///
-/// Bounds the cost of a demand; a holder that still waits asks again.
+/// This bounds the cost of a demand; a holder that still waits sends another one.
 const MAX_RECALLS: usize = 8;
 
-/// Smallest part of a call that is asked back.
+/// Smallest fraction of a call that is recalled.
 ///
-/// Holders keep parts of calls; with 8 holders, smaller parts do not add up to a call.
+/// Holders hold fractions of calls; smaller ones from 8 holders don't add up to a call.
 const SMALLEST_RECALL_NCALLS: u64 = NCALLS_PER_CALL / 8;
 
-/// Holders that are served from the queue for one input.
+/// Most holders that are served from the queue for one input.
 const MAX_SERVED: usize = 16;
 
-/// Pause before something is looked at again that waits for a confirmed lease.
+/// Pause before an expiry that waits for a confirmed lease is checked again.
 pub(super) const LEASE_RETRY_US: u64 = 100_000;
 
-/// Holders that get a grant.
+/// Holders, mostly those to which a grant is sent.
 type Granted = SmallVec<[Holder; 8]>;
 
-/// Returns whether this VM may act as owner in an epoch.
+/// Returns whether this VM may act as owner in an epoch: its lease is valid and the view current.
 pub(super) fn may_act(tick: &Tick<'_>, epoch: Epoch) -> bool {
     tick.tables.lease.is_valid(tick.now_us) && tick.tables.view.epoch == epoch
 }
 
-/// Returns whether the view was in force at a time or later.
+/// Returns whether the view was confirmed to be in force at a time or later.
 ///
-/// What becomes free by the passing of time may only be lent again then:
-/// otherwise a newer owner could have adopted and renewed it before it ended.
+/// A share that expires may only be lent again then: otherwise a newer owner could have adopted
+/// and renewed it before it expired.
 pub(super) fn was_in_force(tick: &Tick<'_>, at_us: u64) -> bool {
     let confirmed_us = tick.tables.lease.confirmed_us;
     confirmed_us.is_some_and(|confirmed_us| confirmed_us >= at_us)
 }
 
-/// Handles a demand.
+/// Handles a holder's demand: updates its loan and sends the grants that result.
 pub(super) fn demanded(tick: &mut Tick<'_>, sender: Sender, demand: &Demand) {
     if !may_act(tick, demand.epoch) {
         return;
@@ -88,21 +88,21 @@
     plan_queue(tick, &demand.account);
 }
 
-/// How a demand relates to what is known of its holder.
+/// How a demand relates to the loan of its holder.
 enum Position {
-    /// It is older than what is known, or about a share that is not known.
+    /// The demand is older than the last one, or reports an unknown share.
     Stale,
-    /// It is the last demand again.
+    /// The demand is a duplicate of the last one.
     Repeated,
-    /// It is newer and about the present loan.
+    /// The demand is newer and concerns the current loan.
     Next,
-    /// It reports a share that another owner lent.
+    /// The demand reports a share that a previous owner lent.
     Reported,
-    /// Its sender has no share.
+    /// The holder has no share and asks for one.
     New,
 }
 
-/// Compares a demand with the loan of its holder.
+/// Compares a demand with the loan of its holder and the state of a takeover.
 fn position(row: &Lending, holder: &Holder, demand: &Demand) -> Position {
     let loan = row.loans.get(holder);
     if let Some(loan) = loan {
@@ -114,7 +114,7 @@
         }
         let is_same = match &demand.held {
             Some(held) => held.id == loan.id,
-            // The holder may still apply a grant that is on its way.
+            // The holder may still apply a grant that is in flight.
             None => demand.floor_seq <= loan.opened_seq,
         };
         if is_same {
@@ -147,7 +147,7 @@
     insert(tick, &demand.account, holder, loan);
 }
 
-/// Inserts a loan and plans its end.
+/// Inserts a loan and schedules its expiry.
 pub(super) fn insert(tick: &mut Tick<'_>, account: &AccountName, holder: &Holder, loan: Loan) {
     let id = loan.id;
     if let Some(row) = tick.tables.loans.get_mut(account) {
@@ -158,7 +158,7 @@
     tick.tables.timers.set(due_us, timer);
 }
 
-/// Takes in what a demand reports and confirms; returns the calls that came back.
+/// Updates a loan with what a demand reports and confirms; returns the calls that came back.
 fn absorb(row: &mut Lending, holder: &Holder, demand: &Demand, now_us: u64) -> u64 {
     let weight = division::weight(demand, row.limits.rate_mcalls_per_s);
     let mut returned_ncalls = 0;
@@ -182,7 +182,7 @@
     returned_ncalls
 }
 
-/// Answers a demand and asks others to give back if too little is free.
+/// Issues a grant for a demand, and recalls calls from other holders if too little is free.
 fn answer(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut Granted) {
     if give_up_spare(row, holder, now_us, granted) {
         return;
@@ -205,10 +205,10 @@
     }
 }
 
-/// Asks a holder that does not need its calls to give them to the first one that waits.
+/// Recalls the calls of a holder without waiting calls for the first holder in the queue.
 fn give_up_spare(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut Granted) -> bool {
-    // Nothing is free for calls that come back until smaller grants are confirmed:
-    // they would be lost, and a holder on this VM would be asked without end.
+    // Until smaller grants are confirmed, the reserve has no room for calls that come back:
+    // they would be lost, and a holder on this VM would be asked in an endless loop.
     if row.is_over_limits() {
         return false;
     }
@@ -229,7 +229,7 @@
     true
 }
 
-/// Puts a holder at the end of the queue unless it is there.
+/// Appends a holder to the queue unless it is queued.
 fn enqueue(row: &mut Lending, holder: &Holder, now_us: u64) {
     let is_queued = row.loans.get(holder).is_none_or(|loan| loan.is_queued);
     if !is_queued {
@@ -238,7 +238,7 @@
     }
 }
 
-/// Asks the holders with most calls to give some back.
+/// Recalls calls from the holders whose buckets have filled for longest.
 fn recall(
     row: &mut Lending,
     holder: &Holder,
@@ -271,7 +271,7 @@
     }
 }
 
-/// Makes the shares smaller that are largest for their holders' weight.
+/// Shrinks the shares that are largest in relation to their holders' weights.
 fn shrink(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut Granted) {
     let last = row.by_service.iter().rev().map(|(_, other)| other);
     let others: Granted = last
@@ -292,7 +292,7 @@
     }
 }
 
-/// Serves holders that wait from what is not lent.
+/// Issues grants from the reserve to holders in the queue.
 pub(super) fn serve_queue(row: &mut Lending, now_us: u64, granted: &mut Granted) {
     for _ in 0..MAX_SERVED {
         let Some(holder) = row.queue.front().cloned() else {
@@ -320,13 +320,13 @@
     }
 }
 
-/// Removes the first holder of the queue.
+/// Removes `holder`, the first in the queue.
 fn leave_queue(row: &mut Lending, holder: &Holder, now_us: u64) {
     row.queue.pop_front();
     row.change(holder, now_us, |loan| loan.is_queued = false);
 }
 
-/// Makes the next grant of a loan and asks for some calls back.
+/// Updates a loan to its next grant, which recalls `recall_ncalls`.
 fn issue(row: &mut Lending, holder: &Holder, recall_ncalls: u64, now_us: u64) {
     row.reserve.refill(now_us);
     let Some(loan) = row.loans.get(holder) else {
@@ -344,7 +344,7 @@
     });
 }
 
-/// Sends the present grants of holders.
+/// Sends holders the current grants of their loans.
 pub(super) fn send(
     tick: &mut Tick<'_>,
     account: &AccountName,
@@ -381,7 +381,7 @@
     }
 }
 
-/// Sets a timer for when enough calls have gathered for a holder that waits.
+/// Schedules the time at which the reserve holds a call for the queue.
 fn plan_queue(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(row) = tick.tables.loans.get_mut(account) else {
@@ -398,7 +398,7 @@
     }
 }
 
-/// Serves the queue from the calls that have gathered.
+/// Refills the reserve and serves the queue from it.
 pub(super) fn queue_due(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let epoch = tick.tables.view.epoch;
@@ -417,7 +417,7 @@
     plan_queue(tick, account);
 }
 
-/// Takes a loan back whose last grant has ended.
+/// Removes a loan once its last grant has expired, or checks again later.
 pub(super) fn loan_ended(tick: &mut Tick<'_>, account: &AccountName, holder: &Holder, id: ShareId) {
     let now_us = tick.now_us;
     let row = tick.tables.loans.get(account);
@@ -438,7 +438,7 @@
     queue_due(tick, account);
 }
 
-/// Brings an account that this VM owns in line with its published limits.
+/// Applies the published limits of an account that this VM owns and issues new grants.
 pub(super) fn limits_changed(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let epoch = tick.tables.view.epoch;
--- a/crates/core/src/systems/rates/pooled.rs
+++ b/crates/core/src/systems/rates/pooled.rs
@@ -1,39 +1,40 @@
-//! Rates of accounts without an owner: each VM keeps a copy of the bucket of each account.
+//! Rate limits without owners: each VM keeps a copy of the bucket of each account.
 //!
-//! The copies start with little in them, so that a VM, or all of them, can be restarted without
-//! a second burst. The VMs that hear each other use their part of the rate; see `systems::peers`.
+//! The copies start at a low level, so that a restart of one or all VMs doesn't grant a second
+//! burst. A group of VMs that can reach each other uses its part of the rate; see
+//! `systems::peers`.
 
 use super::super::Tick;
 use super::calls;
 use crate::ids::AccountName;
 use crate::tables::{Bucket, Limits, NCALLS_PER_CALL, Pooled, Share};
 
-/// Part of the burst below which each VM keeps to its part of the rate: one in this many.
+/// Below the burst divided by this, each VM admits calls only within its own part of the rate.
 const RESERVE_PART: u64 = 10;
 
-/// Part of the burst below which no program begins, in percent.
+/// Level below which no new program is admitted, in percent of the burst.
 ///
-/// The programs under way need several calls each, and one that is refused loses them all.
+/// Running programs need several calls each, and a program loses them all if one is refused.
 const BEGIN_PERCENT: u64 = 40;
 
-/// Part of the burst that an account may use at once after a start: one in this many.
+/// After a restart of this VM, the level of a bucket is at most its burst divided by this.
 const START_PART: u64 = 4;
 
-/// What an account may use at once after a start, in time of its rate.
+/// After a restart of this VM, the level is at most what the account's rate adds in this time.
 const START_US: u64 = 500_000;
 
-/// Calls that a VM may take at once from its part of the rate, in time of that part.
+/// Burst of a VM's own part of the rate: what that part adds in this time, at least one call.
 const PACE_BURST_US: u64 = 250_000;
 
-/// Brings the copy of an account's bucket in line with its published limits.
+/// Applies an account's published limits to this VM's copy of its bucket.
 pub(super) fn limits_changed(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(limits) = tick.tables.accounts.get(account).map(|row| row.limits()) else {
         return;
     };
     let (heard, known) = tick.tables.peering.part();
-    // An account of the first configuration may have used its burst at VMs that this one does
-    // not know of; one that comes later is new to all.
+    // An account of the first configuration that this VM reads may have used its burst on other
+    // VMs already; one that is published later is new to all VMs.
     let starts_full = tick.settings.is_first_start || tick.tables.fleet.revision.0 > 0;
     let shares = &mut tick.tables.shares;
     let is_new = !shares.contains_key(account);
@@ -69,11 +70,11 @@
     });
 }
 
-/// Divides the burst of an account whose calls are counted over one window.
+/// Turns half of the burst into additional rate if calls are counted over a window.
 ///
-/// Half of the burst may be taken at once; the other half is spread over the window. No window
-/// holds more calls than with the whole burst at once, and an account that stays at its limit
-/// gets the calls of its burst in each window.
+/// Half of the burst may be used at once; the other half is spread over the window. No window
+/// holds more calls than if the whole burst were used at once, and an account that stays at its
+/// limit can use its burst in every window.
 fn within_window(limits: Limits, window_ms: u64) -> Limits {
     if window_ms == 0 {
         return limits;
@@ -85,7 +86,7 @@
     }
 }
 
-/// Takes calls that another VM has admitted from the copy of an account's bucket.
+/// Deducts calls that another VM has admitted from this VM's copy of the bucket.
 pub(crate) fn spend(tick: &mut Tick<'_>, account: &AccountName, ncalls: u64) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
@@ -97,7 +98,7 @@
     }
 }
 
-/// Gives back a call that was admitted and did not run.
+/// Refunds an admitted call that did not run.
 pub(crate) fn give_back(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
@@ -113,7 +114,7 @@
     tick.tables.peering.uncount_admitted(account);
 }
 
-/// Brings all copies in line with the number of VMs that share the rates.
+/// Rescales all buckets after a change in the number of VMs that share the rates.
 pub(crate) fn rescale(tick: &mut Tick<'_>) {
     let accounts = tick.tables.accounts.iter();
     let accounts: Vec<AccountName> = accounts.map(|(account, _)| account.clone()).collect();
--- a/crates/core/src/systems/rates/takeover.rs
+++ b/crates/core/src/systems/rates/takeover.rs
@@ -11,13 +11,13 @@
 use crate::message::{Demand, RatesMessage, Unlent};
 use crate::tables::{Bucket, Holder, Lending, Limits, Loan, Takeover, Timer};
 
-/// Pause before members that did not answer are asked again.
+/// Interval at which members that have not answered are queried again.
 const QUERY_RETRY_US: u64 = 200_000;
 
-/// The first view; no account had an owner before it.
+/// The epoch of the first view; no account had an owner before it.
 const FIRST_EPOCH: Epoch = Epoch(1);
 
-/// Takes accounts over and hands accounts over when the view has changed.
+/// Hands over accounts that this VM no longer owns and takes over new ones when the view changes.
 pub(super) fn follow_view(tick: &mut Tick<'_>) {
     let epoch = tick.tables.view.epoch;
     let previous = tick.tables.ownership.epoch;
@@ -48,7 +48,7 @@
     for account in &accounts {
         report_share(tick, account);
     }
-    // In the order of names, so that the same inputs give the same outputs.
+    // Sorted by name, so that the same inputs give the same outputs.
     let mut handed: Vec<_> = handed.into_iter().collect();
     handed.sort_by(|a, b| a.0.cmp(&b.0));
     for (successor, unlent) in handed {
@@ -57,9 +57,9 @@
     start_query(tick);
 }
 
-/// Gives an account up that this VM may no longer lend; returns what was not lent.
+/// Removes an account that this VM may no longer lend; returns its new owner and what was unlent.
 ///
-/// What is not lent is only known if this VM was the owner in the last view.
+/// What is unlent is only known if this VM was the owner in the previous view.
 fn leave(tick: &mut Tick<'_>, account: &AccountName, is_next: bool) -> Option<(VmName, Unlent)> {
     tick.tables.loans.get(account)?;
     let owns = is_owner(tick, account);
@@ -83,7 +83,7 @@
     Some((successor.clone(), unlent))
 }
 
-/// Returns whether this start of this VM owns an account.
+/// Returns whether this incarnation of this VM owns an account.
 fn is_owner(tick: &Tick<'_>, account: &AccountName) -> bool {
     let view = &tick.tables.view;
     let owner = view
@@ -93,7 +93,7 @@
     member.is_some_and(|member| member.incarnation == tick.settings.incarnation)
 }
 
-/// Makes the row of an account that this VM owns; returns whether there is one.
+/// Creates the row of an account if this VM owns it; returns whether there is a row.
 pub(super) fn ensure_row(tick: &mut Tick<'_>, account: &AccountName) -> bool {
     if tick.tables.loans.contains_key(account) {
         return true;
@@ -125,7 +125,7 @@
     true
 }
 
-/// Keeps a takeover that began in an earlier view among those that are asked about.
+/// Includes a takeover that began in an earlier view in the queries of this one.
 fn continue_takeover(tick: &mut Tick<'_>, account: &AccountName) {
     let row = tick.tables.loans.get(account);
     let is_pending = row.is_some_and(|row| row.takeover.is_some());
@@ -135,7 +135,7 @@
     }
 }
 
-/// Reports a share to its new owner.
+/// Reports a share to the account's owner if that has changed.
 fn report_share(tick: &mut Tick<'_>, account: &AccountName) {
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
@@ -147,7 +147,7 @@
     }
 }
 
-/// Asks all other members about the accounts that were taken over.
+/// Queries all other members about the accounts that were taken over.
 fn start_query(tick: &mut Tick<'_>) {
     let tables = &mut *tick.tables;
     if tables.ownership.taken_over.is_empty() {
@@ -159,7 +159,7 @@
     query(tick, tick.tables.view.epoch);
 }
 
-/// Asks the members that have not answered.
+/// Queries the members that have not answered, until the takeovers have ended.
 pub(super) fn query(tick: &mut Tick<'_>, epoch: Epoch) {
     let ownership = &tick.tables.ownership;
     let wait_ms = tick.settings.lease_ms + tick.settings.grant_ms;
@@ -177,7 +177,7 @@
     tick.tables.timers.set(due_us, Timer::ShareQuery(epoch));
 }
 
-/// Answers a new owner.
+/// Answers the query of a new owner with shares in use and with what this VM had not lent.
 pub(super) fn queried(
     tick: &mut Tick<'_>,
     sender: &Sender,
@@ -199,7 +199,7 @@
     tick.send(&sender.vm, RatesMessage::ShareReport { epoch, unlent });
 }
 
-/// Takes in what an earlier owner had not lent.
+/// Adds what an earlier owner had not lent to the accounts taken over.
 pub(super) fn reported(tick: &mut Tick<'_>, sender: Sender, epoch: Epoch, unlent: &[Unlent]) {
     if tick.tables.view.epoch != epoch {
         return;
@@ -229,7 +229,7 @@
     }
 }
 
-/// Adopts a share that an earlier owner lent.
+/// Inserts a loan for a share that an earlier owner lent.
 pub(super) fn adopt(tick: &mut Tick<'_>, holder: &Holder, demand: &Demand) {
     let Some(held) = &demand.held else {
         return;
@@ -257,13 +257,13 @@
     owner::insert(tick, &demand.account, holder, loan);
 }
 
-/// Returns the takeover of an account.
+/// Returns the takeover of an account if one is under way.
 fn takeover_of<'a>(tick: &'a mut Tick<'_>, account: &AccountName) -> Option<&'a mut Takeover> {
     let row = tick.tables.loans.get_mut(account)?;
     row.takeover.as_mut()
 }
 
-/// Adds to what is known to be free or adopted.
+/// Raises the limits that may be lent during a takeover by what became known to be free or adopted.
 fn learn(tick: &mut Tick<'_>, account: &AccountName, limits: Limits) {
     let tables = &mut *tick.tables;
     let published = tables.accounts.get(account).map(|row| row.limits());
@@ -278,7 +278,7 @@
     row.set_limits(limits, tick.now_us);
 }
 
-/// Ends a takeover: all that is not lent is free.
+/// Ends a takeover once all earlier grants have expired, so that the full limits may be lent.
 pub(super) fn end(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let tables = &*tick.tables;
