--- a/crates/core/src/systems/homes/entry.rs
+++ b/crates/core/src/systems/homes/entry.rs
@@ -117,7 +117,7 @@
         plan_retry(tick, id, MIN_EXTEND_US);
         return;
     }
-    let has_to_move = call.stage == Stage::Home;
+    let awaits_home = call.stage == Stage::Home;
     call.generation = began.state.generation;
     call.valid_until_us = valid_until_us;
     call.begin_tries = 0;
@@ -125,7 +125,7 @@
     let wait_us = (valid_until_us - now_us) / 2;
     plan_retry(tick, id, wait_us.max(MIN_EXTEND_US));
     witness::note(tick, began.state);
-    if has_to_move {
+    if awaits_home {
         admission::enter(tick, id, Stage::Place);
     }
 }
--- a/crates/core/src/systems/homes/lifecycle.rs
+++ b/crates/core/src/systems/homes/lifecycle.rs
@@ -31,11 +31,11 @@
         return tick.send(vm, HomesMessage::Denied(denied));
     }
     let program = tick.tables.programs.get(key);
-    let is_meant = program.is_some_and(|p| generation.is_none_or(|g| g == p.generation));
+    let is_target = program.is_some_and(|p| generation.is_none_or(|g| g == p.generation));
     if tick.tables.homes.ended.insert(request, ()).is_none() {
         let due_us = tick.now_us + ENDED_KEEP_MS * 1_000;
         tick.tables.timers.set(due_us, Timer::EndedForget(request));
-        if is_meant {
+        if is_target {
             over(tick, key, OverReason::Ended);
         }
     }
@@ -124,9 +124,12 @@
 
 /// Removes the tombstone of a program once it has expired.
 pub(super) fn forget(tick: &mut Tick<'_>, key: &ProgramKey) {
-    let over = &mut tick.tables.homes.over;
-    if over.get(key).is_some_and(|row| row.until_us <= tick.now_us) {
-        over.remove(key);
+    let tombstones = &mut tick.tables.homes.over;
+    if tombstones
+        .get(key)
+        .is_some_and(|tombstone| tombstone.until_us <= tick.now_us)
+    {
+        tombstones.remove(key);
     }
 }
 
--- a/crates/core/src/systems/homes/order.rs
+++ b/crates/core/src/systems/homes/order.rs
@@ -84,9 +84,9 @@
 
 /// Returns whether the entry VM of a finished turn still has the response.
 fn is_kept(tick: &Tick<'_>, last: &FinishedTurn) -> bool {
-    let kept_until_us = last.ended_us + tick.settings.answer_keep_ms * 1_000;
+    let retained_until_us = last.ended_us + tick.settings.answer_keep_ms * 1_000;
     let member = tick.tables.view.member(&last.vm);
-    tick.now_us < kept_until_us
+    tick.now_us < retained_until_us
         && member.is_some_and(|member| member.incarnation == last.call.incarnation)
 }
 
--- a/crates/core/src/systems/homes/takeover.rs
+++ b/crates/core/src/systems/homes/takeover.rs
@@ -69,7 +69,7 @@
 /// Returns whether all previous homes that could still hold a lease have handed a program over.
 fn was_handed_over(tick: &Tick<'_>, key: &ProgramKey) -> bool {
     let past_views = &tick.tables.membership.past_views;
-    let has_let_go = |view: &View| {
+    let has_handed_over = |view: &View| {
         let Some((vm, ..)) = home_in(view, key).filter(|_| !is_home_in(tick, view, key)) else {
             return is_home_in(tick, view, key);
         };
@@ -78,15 +78,15 @@
             handed.epoch > view.epoch && handed.from_us.is_some_and(|at| at <= tick.now_us)
         })
     };
-    !past_views.is_empty() && past_views.iter().all(|past| has_let_go(&past.view))
+    !past_views.is_empty() && past_views.iter().all(|past| has_handed_over(&past.view))
 }
 
 /// Returns whether this VM has been the only home of a program since an epoch.
 ///
 /// The answer is `false` if the epoch is older than the remembered views.
 pub(super) fn was_home_since(tick: &Tick<'_>, key: &ProgramKey, since: Epoch) -> bool {
-    let past = tick.tables.homes.past.iter();
-    for view in std::iter::once(&tick.tables.view).chain(past) {
+    let past_views = tick.tables.homes.past.iter();
+    for view in std::iter::once(&tick.tables.view).chain(past_views) {
         if !is_home_in(tick, view, key) {
             return false;
         }
@@ -120,15 +120,15 @@
     }
     witness::push(tick, &old, &new);
     hand_over(tick, &old, &new);
-    let (before, now) = (self_in(tick, &old), self_in(tick, &new));
-    let has_rejoined = now.is_some() && before != now;
-    let kept: Vec<ProgramKey> = tick
+    let (old_identity, new_identity) = (self_in(tick, &old), self_in(tick, &new));
+    let has_rejoined = new_identity.is_some() && old_identity != new_identity;
+    let keys: Vec<ProgramKey> = tick
         .tables
         .programs
         .iter()
         .map(|(key, _)| key.clone())
         .collect();
-    for key in kept {
+    for key in keys {
         if has_rejoined {
             distrust(tick, &key);
         }
@@ -319,8 +319,8 @@
             install(tick, program);
         }
     }
-    for gone in handed.releases {
-        release::release(tick, gone.upstream, gone.program, gone.generation);
+    for release in handed.releases {
+        release::release(tick, release.upstream, release.program, release.generation);
     }
     note_handed_over(
         tick,
@@ -368,14 +368,14 @@
     let HandedProgram { key, row, now_us } = handed;
     let is_waiting = check_home(tick, &key).is_err();
     let present = tick.tables.programs.get(&key);
-    let known: Vec<UpstreamName> = present
+    let known_upstreams: Vec<UpstreamName> = present
         .filter(|present| present.generation == row.generation)
         .map_or_else(Vec::new, |present| present.served.to_vec());
-    let stays = present.is_some_and(|present| {
+    let keeps_present = present.is_some_and(|present| {
         let is_newer = present.generation == row.generation && present.turn > row.turn;
         !is_waiting || !present.is_recovered || is_newer
     });
-    if stays || lifecycle::is_over(tick, &key, row.generation) {
+    if keeps_present || lifecycle::is_over(tick, &key, row.generation) {
         return merge(tick, &key, &row);
     }
     let mut row = rebase(row, now_us, tick.now_us);
@@ -392,7 +392,7 @@
         }
         None => tree::insert(tick, &key, row),
     }
-    release::note(tick, &key, &known);
+    release::note(tick, &key, &known_upstreams);
     let turn = tick.tables.programs.get(&key).map_or(0, |row| row.turn);
     tick.decide(Decision::ProgramTakenOver {
         program: key.clone(),
--- a/crates/core/src/systems/homes/tree.rs
+++ b/crates/core/src/systems/homes/tree.rs
@@ -114,7 +114,7 @@
 pub(super) fn subtree(tick: &Tick<'_>, key: &ProgramKey) -> Vec<ProgramKey> {
     let root = tick.tables.programs.get(&key.root());
     let mut next = root.and_then(|root| root.links.first.clone());
-    let mut found = Vec::new();
+    let mut keys = Vec::new();
     while let Some(name) = next {
         let child = ProgramKey {
             account: key.account.clone(),
@@ -126,13 +126,13 @@
             .get(&child)
             .and_then(|row| row.links.next.clone());
         if child.name.is_within(&key.name) {
-            found.push(child);
+            keys.push(child);
         }
     }
     if key.name.is_root() {
-        found.push(key.clone());
+        keys.push(key.clone());
     }
-    found
+    keys
 }
 
 /// Renews the lease of a program and of its root.
--- a/crates/core/src/systems/homes/waits.rs
+++ b/crates/core/src/systems/homes/waits.rs
@@ -47,13 +47,13 @@
         program.first_wait = wait.next;
         return Some(wait);
     }
-    let mut at = program.first_wait;
-    while let Some(other) = at.and_then(|id| waits.get_mut(&id)) {
-        if other.next == Some(call) {
-            other.next = wait.next;
+    let mut cursor = program.first_wait;
+    while let Some(waiting) = cursor.and_then(|id| waits.get_mut(&id)) {
+        if waiting.next == Some(call) {
+            waiting.next = wait.next;
             break;
         }
-        at = other.next;
+        cursor = waiting.next;
     }
     Some(wait)
 }
--- a/crates/core/src/systems/homes/witness.rs
+++ b/crates/core/src/systems/homes/witness.rs
@@ -19,13 +19,13 @@
 pub(super) fn note(tick: &mut Tick<'_>, state: Continuation) {
     let now_us = tick.now_us;
     let key = state.program.clone();
-    let kept = tick.tables.homes.witnesses.get_mut(&key);
-    if let Some(kept) = kept
-        && kept.witness.state.generation == state.generation
+    let record = tick.tables.homes.witnesses.get_mut(&key);
+    if let Some(record) = record
+        && record.witness.state.generation == state.generation
     {
-        kept.seen_us = now_us;
-        if state.turn >= kept.witness.state.turn {
-            kept.witness.state = state;
+        record.seen_us = now_us;
+        if state.turn >= record.witness.state.turn {
+            record.witness.state = state;
         }
         return;
     }
@@ -37,12 +37,12 @@
         idle_ms: 0,
     };
     let seen_us = now_us;
-    let kept = KeptWitness { witness, seen_us };
+    let record = KeptWitness { witness, seen_us };
     if tick
         .tables
         .homes
         .witnesses
-        .insert(key.clone(), kept)
+        .insert(key.clone(), record)
         .is_none()
     {
         let due_us = now_us + tick.settings.program_lease_ms * 1_000;
@@ -55,9 +55,9 @@
 /// If the home that issued it is cut off, the next home needs it: it must not run an earlier
 /// turn again for a call that waits at another VM.
 pub(super) fn note_carried(tick: &mut Tick<'_>, state: &Continuation) {
-    let kept = tick.tables.homes.witnesses.get(&state.program);
-    let is_new = kept.is_none_or(|kept| {
-        let known = &kept.witness.state;
+    let record = tick.tables.homes.witnesses.get(&state.program);
+    let is_new = record.is_none_or(|record| {
+        let known = &record.witness.state;
         known.generation == state.generation && known.turn < state.turn
     });
     if is_new {
@@ -67,29 +67,29 @@
 
 /// Records upstreams that may hold memory of a program.
 pub(super) fn note_upstreams(tick: &mut Tick<'_>, key: &ProgramKey, upstreams: &[UpstreamName]) {
-    let Some(kept) = tick.tables.homes.witnesses.get_mut(key) else {
+    let Some(record) = tick.tables.homes.witnesses.get_mut(key) else {
         return;
     };
     for upstream in upstreams {
-        if !kept.witness.upstreams.contains(upstream) {
-            kept.witness.upstreams.push(upstream.clone());
+        if !record.witness.upstreams.contains(upstream) {
+            record.witness.upstreams.push(upstream.clone());
         }
     }
 }
 
 /// Records that the caller ended a program through this VM.
 pub(super) fn note_end(tick: &mut Tick<'_>, key: &ProgramKey) {
-    if let Some(kept) = tick.tables.homes.witnesses.get_mut(key) {
-        kept.witness.is_ended = true;
+    if let Some(record) = tick.tables.homes.witnesses.get_mut(key) {
+        record.witness.is_ended = true;
     }
 }
 
 /// Removes the witness of a program that this VM has not served for the length of a lease.
 pub(super) fn forget(tick: &mut Tick<'_>, key: &ProgramKey) {
-    let Some(kept) = tick.tables.homes.witnesses.get(key) else {
+    let Some(record) = tick.tables.homes.witnesses.get(key) else {
         return;
     };
-    let due_us = kept.seen_us + tick.settings.program_lease_ms * 1_000;
+    let due_us = record.seen_us + tick.settings.program_lease_ms * 1_000;
     if due_us > tick.now_us {
         let timer = Timer::WitnessForget(key.clone());
         tick.tables.timers.set(due_us, timer);
@@ -131,9 +131,9 @@
         .witnesses
         .iter()
         .filter(|(key, _)| takeover::home_in(old, key) != takeover::home_in(new, key))
-        .map(|(key, kept)| {
-            let mut witness = kept.witness.clone();
-            witness.idle_ms = tick.now_us.saturating_sub(kept.seen_us) / 1_000;
+        .map(|(key, record)| {
+            let mut witness = record.witness.clone();
+            witness.idle_ms = tick.now_us.saturating_sub(record.seen_us) / 1_000;
             if let Some((turns, upstreams)) = running.remove(key) {
                 witness.running = turns;
                 witness.upstreams.extend(upstreams);
@@ -145,8 +145,9 @@
 
 /// Returns witnesses that mark the ended programs of this VM as ended at their new homes.
 fn over(tick: &Tick<'_>, old: &View, new: &View) -> Vec<Witness> {
-    let over = tick.tables.homes.over.iter();
-    over.filter(|(key, _)| takeover::home_in(old, key) != takeover::home_in(new, key))
+    let tombstones = tick.tables.homes.over.iter();
+    tombstones
+        .filter(|(key, _)| takeover::home_in(old, key) != takeover::home_in(new, key))
         .map(|(_, tombstone)| Witness {
             state: tombstone.state.clone(),
             upstreams: SmallVec::new(),
