--- a/crates/core/src/systems/config/listing.rs
+++ b/crates/core/src/systems/config/listing.rs
@@ -1,4 +1,4 @@
-//! Puts the list in force that upstreams keep of themselves.
+//! Applies the list in which upstreams register themselves.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,10 +11,10 @@
 use crate::message::ListStamp;
 use crate::output::Decision;
 
-/// Puts a list in force that this VM has read from the store.
+/// Applies a list that this VM has read from the store.
 ///
-/// Entries may lapse while the store is away although their upstreams live. They are kept until
-/// the upstreams have had time to write them again.
+/// Entries may expire during a store outage although their upstreams are running. They are kept
+/// until the upstreams have had time to register again.
 pub(crate) fn adopt_read_list(tick: &mut Tick<'_>, list: &UpstreamList) {
     if list.revision < tick.tables.source.stamp.revision {
         return;
@@ -33,14 +33,14 @@
     put_in_force(tick, Arc::new(effective));
 }
 
-/// Returns whether entries may be missing because the store was away.
+/// Returns whether entries may be missing because of a recent store outage.
 fn may_have_lapsed(tick: &Tick<'_>) -> bool {
     let relist_us = tick.settings.relist_ms * 1_000;
     let returned_us = tick.tables.source.returned_us;
     returned_us.is_some_and(|returned_us| tick.now_us < returned_us + relist_us)
 }
 
-/// Puts a list in force that another VM has in force.
+/// Applies a list received from another VM; `read_us` is when it was read from the store.
 pub(crate) fn adopt_list(tick: &mut Tick<'_>, list: Arc<UpstreamList>, read_us: Option<u64>) {
     if list.revision < tick.tables.source.stamp.revision || list.revision == 0 {
         return;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Puts a list in force and tells the other VMs if it differs from the one before.
+/// Puts a list in force and announces it to the other VMs if its upstreams changed.
 fn put_in_force(tick: &mut Tick<'_>, list: Arc<UpstreamList>) {
     let digest = digest(&list.upstreams);
     let before = tick.tables.source.stamp;
@@ -78,7 +78,7 @@
     tick.work.peers.announce = true;
 }
 
-/// Returns services with the upstreams that are listed for them.
+/// Returns the services with their upstreams taken from the list in force.
 pub(super) fn services(tick: &Tick<'_>, services: &[ServiceConfig]) -> Vec<ServiceConfig> {
     let listed = &tick.tables.source.upstreams.upstreams;
     let with_upstreams = |service: &ServiceConfig| {
@@ -90,7 +90,7 @@
     services.iter().map(with_upstreams).collect()
 }
 
-/// Returns a digest of what matters in a list.
+/// Returns a digest of the fields that affect the placement of calls.
 fn digest(upstreams: &[ListedUpstream]) -> u64 {
     let mut hasher = DefaultHasher::new();
     for row in upstreams {
--- a/crates/core/src/systems/config/mod.rs
+++ b/crates/core/src/systems/config/mod.rs
@@ -1,6 +1,6 @@
-//! Puts published configurations in force.
+//! Adopts published configurations.
 //!
-//! [`listing`] does the same for the list of upstreams.
+//! [`listing`] adopts the list of upstreams.
 
 mod listing;
 
@@ -18,10 +18,11 @@
 use crate::output::Decision;
 use crate::tables::{Account, Key, Pool, Table, Upstream};
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub messages: Vec<(Sender, ConfigMessage)>,
+    /// Published configurations, which may be older than the one in force.
     pub offered: Vec<Arc<FleetConfig>>,
     /// Revisions that other VMs have in force.
     pub seen: Vec<(VmName, Revision)>,
@@ -47,10 +48,9 @@
     }
 }
 
-/// Asks another VM for its configuration if it is newer.
+/// Requests the configuration of another VM if it is newer.
 ///
-/// A request that is not answered is sent again, to whichever VM reports the
-/// revision next.
+/// An unanswered request is repeated to the next VM that reports the revision.
 fn note_revision(tick: &mut Tick<'_>, vm: &VmName, revision: Revision) {
     let now_us = tick.now_us;
     let again_us = tick.settings.heartbeat_ms * 1_000 / 2;
@@ -68,7 +68,7 @@
     tick.send(vm, ConfigMessage::ConfigRequest { in_force });
 }
 
-/// Handles a message of another VM.
+/// Handles a message from another VM.
 fn handle(tick: &mut Tick<'_>, sender: &Sender, message: ConfigMessage) {
     match message {
         ConfigMessage::ConfigRequest { in_force } => {
@@ -110,7 +110,7 @@
     tick.work.membership.announce = tick.settings.coordination == Coordination::Owners;
 }
 
-/// Replaces the routes by host.
+/// Replaces the host routes, with the longest path prefix first.
 fn replace_hosts(tick: &mut Tick<'_>, routes: &[HostRoute]) {
     let hosts = &mut tick.tables.hosts;
     *hosts = Table::default();
@@ -123,7 +123,7 @@
     }
 }
 
-/// Replaces accounts and keys; `rates` brings shares and loans up to date.
+/// Replaces accounts and keys; the `rates` system then updates shares and loans.
 fn replace_accounts(tick: &mut Tick<'_>, accounts: &[AccountConfig]) {
     let tables = &mut *tick.tables;
     tables.keys = Table::default();
@@ -144,9 +144,10 @@
     }
 }
 
-/// Replaces services, upstreams and pools; rows that stay keep their state.
+/// Replaces services, upstreams and pools; remaining rows keep their state.
 ///
-/// Upstreams that are no longer listed go, which also ends releases of memory at them.
+/// Upstreams that are no longer listed are removed, which also cancels pending releases of
+/// their memory.
 fn replace_services(tick: &mut Tick<'_>, services: &[ServiceConfig]) {
     let tables = &mut *tick.tables;
     tables.services = Table::default();
@@ -187,7 +188,7 @@
     tick.work.orders.config_changed = true;
 }
 
-/// Lists the upstreams of the pools of one service again after a model was loaded or unloaded.
+/// Recomputes the pools of an upstream's service after it loaded or unloaded a model.
 pub(crate) fn refresh_pools(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let tables = &mut *tick.tables;
     let mut services = tables.services.iter();
@@ -219,7 +220,9 @@
         .collect()
 }
 
-/// Returns the upstreams of a service that can run the calls of a pool.
+/// Returns the upstreams of a service that have loaded the pool's model.
+///
+/// The pool of a plain service has no model and contains all upstreams.
 fn upstreams_of(
     upstreams: &Table<UpstreamName, Upstream>,
     service: &ServiceConfig,
--- a/crates/core/src/systems/membership/answers.rs
+++ b/crates/core/src/systems/membership/answers.rs
@@ -1,4 +1,6 @@
-//! Heartbeats that arrive, their answers, and news for those who asked.
+//! Handles heartbeats and their answers, and pushes updates to VMs that asked.
+//!
+//! A heartbeat may ask for a confirmation of the sender's lease.
 
 use super::super::{Sender, Tick};
 use super::{leases, leaving, views};
@@ -25,7 +27,7 @@
     }
 }
 
-/// Keeps what a heartbeat says about its sender.
+/// Records the sender's state from its heartbeat.
 fn note_state(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
     let now_us = tick.now_us;
     let row = tick
@@ -38,14 +40,14 @@
     row.leaving |= heartbeat.leaving;
 }
 
-/// Keeps a question, so that news can be sent as a further answer to it.
+/// Records a request, so that later updates can be sent as further answers to it.
 fn note_asked(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
     let now_us = tick.now_us;
     let Some(row) = tick.tables.vms.get_mut(&sender.vm) else {
         return;
     };
     let before = row.asked;
-    // A heartbeat that arrives late or twice would move the question back.
+    // A delayed or duplicate heartbeat must not replace a newer request.
     if before.is_some_and(|asked| asked.round >= heartbeat.round) {
         return;
     }
@@ -59,9 +61,10 @@
     });
 }
 
-/// Returns whether a question is answered at once.
+/// Returns whether a request is answered immediately.
 ///
-/// In a large fleet, one that was answered lately waits for the next confirmation.
+/// In a large fleet, a VM that was answered within the touch interval waits for
+/// the next confirmation, unless its view or revision is out of date.
 fn needs_answer(tick: &Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) -> bool {
     let tables = &*tick.tables;
     let has_news =
@@ -76,7 +79,7 @@
     })
 }
 
-/// Answers the last question of a VM.
+/// Answers the latest request of a VM.
 fn answer(tick: &mut Tick<'_>, vm: &VmName) {
     let now_us = tick.now_us;
     let promises = leases::promise(tick);
@@ -100,7 +103,7 @@
     tick.send(vm, MembershipMessage::HeartbeatAnswer(answer));
 }
 
-/// Handles an answer.
+/// Handles an answer to a heartbeat.
 pub(super) fn answered(tick: &mut Tick<'_>, sender: &Sender, answer: &HeartbeatAnswer) {
     let now_us = tick.now_us;
     if let Some(row) = tick.tables.vms.get_mut(&sender.vm) {
@@ -114,7 +117,7 @@
         .seen
         .push((sender.vm.clone(), answer.revision));
     if answer.epoch > tick.tables.view.epoch {
-        // A confirmation of a view that is not known here proves nothing about this one.
+        // A confirmation of a newer view does not confirm the one in force here.
         return;
     }
     let rounds = &tick.tables.membership.rounds;
@@ -129,11 +132,12 @@
     }
 }
 
-/// Returns a moment on this VM's clock that is not after the one meant.
+/// Converts an age reported by another VM to a time on this VM's clock.
 ///
-/// The age was measured by another VM from the arrival of the heartbeat,
-/// which was not before it was sent. A moment after the arrival is brought
-/// forward by 10%, since the other clock may be faster by that much.
+/// The result is never later than the actual time. The age counts back from
+/// the arrival of the heartbeat, which was not before `asked_us`, when it was
+/// sent. A negative age, a time after the arrival, is shortened by 10% because
+/// the other clock may run faster by that much.
 fn moment(asked_us: u64, age_us: i64, now_us: u64) -> u64 {
     let moment_us = if age_us >= 0 {
         asked_us.saturating_sub(age_us.unsigned_abs())
@@ -143,9 +147,9 @@
     moment_us.min(now_us)
 }
 
-/// Passes a new confirmation, promise or revision on to those who asked lately.
+/// Pushes a new confirmation, promise or revision to VMs that asked recently.
 ///
-/// In a small fleet only the first promise is passed on: all are asked often.
+/// A small fleet pushes only the first promise, since its members ask often.
 pub(super) fn push_news(tick: &mut Tick<'_>) {
     let is_tree = tick.tables.membership.peers.is_tree;
     let now_us = tick.now_us;
--- a/crates/core/src/systems/membership/joining.rs
+++ b/crates/core/src/systems/membership/joining.rs
@@ -1,4 +1,4 @@
-//! Becoming a member.
+//! Joining the fleet: requests of this VM and of others to become members.
 
 use super::super::{Sender, Tick};
 use super::views;
@@ -6,10 +6,10 @@
 use crate::message::MembershipMessage;
 use crate::tables::Member;
 
-/// Time after which a join that was not repeated no longer counts.
+/// Time after which a join request that was not repeated expires.
 const JOIN_KEPT_US: u64 = 5_000_000;
 
-/// Returns the entry of this VM in a view.
+/// Builds the member entry of this VM.
 pub(super) fn entry(tick: &Tick<'_>, joined: Epoch) -> Member {
     let settings = tick.settings;
     Member {
@@ -22,7 +22,9 @@
     }
 }
 
-/// Asks the writers to make this VM a member, unless it is one.
+/// Sends a join request to the writers, at most once per touch interval.
+///
+/// Does nothing if this VM is a member or draining.
 pub(super) fn ask(tick: &mut Tick<'_>) {
     let (now_us, settings) = (tick.now_us, tick.settings);
     let tables = &mut *tick.tables;
@@ -43,14 +45,14 @@
     }
 }
 
-/// Takes note of a VM that wants to be a member.
+/// Records the join request of a VM.
 pub(super) fn record(tick: &mut Tick<'_>, sender: &Sender, member: Member) {
     if member.vm != sender.vm || member.incarnation != sender.incarnation {
         return;
     }
     let view = &tick.tables.view;
     if view.member_at(&member.vm, member.incarnation).is_some() {
-        // The view was lost on its way.
+        // The sender is a member already: it missed the view that added it.
         views::request(tick, &sender.vm, Epoch::default());
         return;
     }
@@ -58,7 +60,7 @@
     joins.insert(member.vm.clone(), (member, tick.now_us));
 }
 
-/// Returns the VMs that want to be members and have said so lately.
+/// Returns the VMs whose join requests have not expired.
 pub(super) fn wanted(tick: &Tick<'_>) -> Vec<Member> {
     let oldest_us = tick.now_us.saturating_sub(JOIN_KEPT_US);
     let joins = tick.tables.membership.joins.values();
--- a/crates/core/src/systems/membership/leases.rs
+++ b/crates/core/src/systems/membership/leases.rs
@@ -1,11 +1,12 @@
-//! Confirmations of the view, and promises of writers while the store does not answer.
+//! Lease renewal by confirmations of the view, or by promises of the writers
+//! while the store does not answer.
 
 use super::super::{Sender, Tick};
 use crate::config::CoreSettings;
 use crate::output::Decision;
 use crate::tables::RequestKind;
 
-/// Takes note that the view, or an older one, was in force at a moment.
+/// Records that the view, or an older one, was in force at a time, and renews the lease.
 pub(super) fn confirm(tick: &mut Tick<'_>, moment_us: u64) {
     let lease = &mut tick.tables.lease;
     if lease.confirmed_us.is_none_or(|known| known < moment_us) {
@@ -14,7 +15,7 @@
     refresh(tick);
 }
 
-/// Sets the end of the lease; a VM that is no member has none.
+/// Recomputes when the lease expires; a VM that is no member has no lease.
 pub(super) fn refresh(tick: &mut Tick<'_>) {
     let settings = tick.settings;
     let tables = &mut *tick.tables;
@@ -25,11 +26,10 @@
     };
 }
 
-/// Returns whether this VM, as a writer, promises to write no view.
+/// Returns whether this VM, as a writer, should promise to write no view.
 ///
-/// It does so when the store does not answer it, or does not answer the other
-/// writer. A view that was sent to the store and may still be written rules a
-/// promise out.
+/// It should when the store does not answer it or the other writer. No promise
+/// is possible while a view sent to the store may still be written.
 pub(super) fn is_promising(tick: &Tick<'_>) -> bool {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let store = &tables.membership.store;
@@ -38,8 +38,8 @@
     if writes || !tables.view.is_writer_at(&settings.vm, settings.incarnation) {
         return false;
     }
-    // One touch has been missed by half its interval: no promise, which holds
-    // view changes up, is made for a store that is only slow for a moment.
+    // A promise delays view changes, so a brief slowdown of the store must not
+    // cause one: wait until a touch is half an interval overdue.
     let limit_us = settings.touch_ms * 1_000 * 3 / 2;
     let age_us = tables.lease.age_us(tick.now_us);
     if age_us.is_some_and(|age_us| age_us < limit_us) && !is_kept_by_promises(tick) {
@@ -48,14 +48,14 @@
     store.failures > 0 || is_touch_late(tick) || joins_promise(tick)
 }
 
-/// Returns whether the last confirmation came from promises and not from a touch.
+/// Returns whether promises rather than touches keep the lease alive.
 fn is_kept_by_promises(tick: &Tick<'_>) -> bool {
     let membership = &tick.tables.membership;
     let promised = membership.store.failures > 0 && membership.promised_until_us > tick.now_us;
     promised || joins_promise(tick)
 }
 
-/// Returns whether a touch has waited for its answer for half the touch interval.
+/// Returns whether a touch has been pending for half the touch interval.
 fn is_touch_late(tick: &Tick<'_>) -> bool {
     let pending = tick.tables.membership.store.pending;
     pending.is_some_and(|pending| {
@@ -64,10 +64,10 @@
     })
 }
 
-/// Returns whether this writer promises because the other one does.
+/// Returns whether this writer should promise because the other one did.
 ///
-/// A writer that the store has answered lately does not join in; otherwise two
-/// writers would keep each other's promises up for ever.
+/// A writer whose update recently reached the store does not follow; otherwise
+/// two writers would renew each other's promises forever.
 fn joins_promise(tick: &Tick<'_>) -> bool {
     let updated_us = tick.tables.membership.store.updated_us;
     let limit_us = tick.settings.touch_ms * 1_500;
@@ -75,7 +75,7 @@
     !updated_us.is_some_and(is_updated) && hears_promise(tick)
 }
 
-/// Returns whether the other writer has promised to write no view lately.
+/// Returns whether the other writer recently promised to write no view.
 pub(super) fn hears_promise(tick: &Tick<'_>) -> bool {
     let recent_us = tick.settings.heartbeat_ms * 2_500;
     let is_recent = |from_us: u64| tick.now_us.saturating_sub(from_us) < recent_us;
@@ -85,7 +85,7 @@
         .any(|(vm, from_us)| *vm != tick.settings.vm && is_recent(*from_us))
 }
 
-/// Makes a promise if the store does not answer; returns whether one was made.
+/// Makes or renews a promise if the store does not answer; returns whether it did.
 pub(super) fn promise(tick: &mut Tick<'_>) -> bool {
     if !is_promising(tick) {
         return false;
@@ -100,7 +100,7 @@
     true
 }
 
-/// Takes note of a promise of a writer.
+/// Records a promise of a writer, valid from `from_us`.
 pub(super) fn note_promise(tick: &mut Tick<'_>, sender: &Sender, from_us: u64) {
     if !tick
         .tables
@@ -117,12 +117,12 @@
     extend_by_promises(tick);
 }
 
-/// Extends the lease if every writer has promised to write no view.
+/// Renews the lease if every writer has promised to write no view.
 pub(super) fn extend_by_promises(tick: &mut Tick<'_>) {
     let settings = tick.settings;
     let view = &tick.tables.view;
     let is_writer = view.is_writer(&settings.vm);
-    // A writer that was restarted cannot promise anything for its former start.
+    // A restarted writer cannot promise on behalf of its previous incarnation.
     let is_restarted = is_writer && !view.is_writer_at(&settings.vm, settings.incarnation);
     if view.writers.is_empty() || is_restarted || (is_writer && !promise(tick)) {
         return;
@@ -136,13 +136,14 @@
         let promise = promises.iter().find(|(vm, _)| vm == writer);
         promise.map(|(_, from_us)| *from_us)
     });
-    // The earliest promise counts; a missing one means that a view may be written.
+    // The lease counts from the earliest promise. Without one from every writer, a
+    // view may still be written.
     if let Some(from_us) = promised_us.min().flatten() {
         confirm(tick, from_us);
     }
 }
 
-/// Forgets promises of VMs that are no writers of the view in force.
+/// Removes promises of VMs that are not writers of the view in force.
 pub(super) fn keep_writers(tick: &mut Tick<'_>) {
     let view = &tick.tables.view;
     let promises = &mut tick.tables.membership.promises;
--- a/crates/core/src/systems/membership/leaving.rs
+++ b/crates/core/src/systems/membership/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving the fleet: notice, hand-over, end.
+//! Leaving the fleet: announcing it, handing over and stopping.
 
 use super::super::{Sender, Tick};
 use super::{rounds, views};
@@ -7,7 +7,7 @@
 use crate::output::Decision;
 use crate::tables::View;
 
-/// Starts the departure of this VM.
+/// Starts draining this VM.
 pub(super) fn drain(tick: &mut Tick<'_>) {
     if tick.tables.membership.departure.is_draining {
         return;
@@ -17,7 +17,7 @@
     let view = &tick.tables.view;
     let is_member = view.member_at(&settings.vm, settings.incarnation).is_some();
     if !is_member {
-        // There is nothing to hand over.
+        // A VM that is no member has nothing to hand over.
         tick.tables.membership.departure.has_left = true;
         return;
     }
@@ -27,7 +27,7 @@
     rounds::tell_leaving(tick);
 }
 
-/// Takes note that a member is leaving.
+/// Records that a member is leaving.
 pub(super) fn note(tick: &mut Tick<'_>, sender: &Sender) {
     let view = &tick.tables.view;
     if view.member_at(&sender.vm, sender.incarnation).is_some() {
@@ -38,16 +38,16 @@
 
 /// Returns whether a VM is the only member.
 ///
-/// It leaves without a new view: one without members would leave nobody to
-/// write the next one.
+/// The last member leaves without a new view, since nobody could write the
+/// view that follows an empty one.
 fn is_last(view: &View, vm: &VmName) -> bool {
     view.members.len() == 1 && view.member(vm).is_some()
 }
 
-/// Tells the members that this VM acts no more, once nothing is left to hand over.
+/// Announces that this VM has stopped, once every hand-over is confirmed.
 ///
-/// A hand-over that nobody confirms is given up after the takeover wait,
-/// since its receivers act by themselves then.
+/// Unconfirmed hand-overs are abandoned after the takeover wait, when the new
+/// owners take over without them.
 pub(super) fn finish(tick: &mut Tick<'_>) {
     let wait_us = tick.settings.takeover_wait_us();
     let departure = &mut tick.tables.membership.departure;
@@ -73,7 +73,7 @@
     tick.decide(Decision::Left { epoch });
 }
 
-/// Takes note that a removed member acts no more.
+/// Records that a removed member has stopped.
 pub(super) fn record(tick: &mut Tick<'_>, sender: &Sender, epoch: Epoch) {
     let now_us = tick.now_us;
     let membership = &mut tick.tables.membership;
--- a/crates/core/src/systems/membership/mod.rs
+++ b/crates/core/src/systems/membership/mod.rs
@@ -1,10 +1,11 @@
-//! View, leases and failure suspicion.
+//! Fleet membership: the view, leases and failure detection.
 //!
-//! One module for each part: [`rounds`] sends heartbeats, [`answers`] handles
-//! them, [`leases`] keeps confirmations and promises, [`suspicion`] finds
-//! members that have failed, [`views`] adopts and passes on views, [`writing`]
-//! proposes new ones, [`joining`] and [`leaving`] are the two ends of a
-//! membership, and [`store`] paces the requests to the store.
+//! [`rounds`] sends heartbeats and [`answers`] handles them, [`leases`] tracks
+//! confirmations and promises, [`suspicion`] detects failed members, [`views`]
+//! adopts and propagates views, [`writing`] proposes new ones, [`joining`] and
+//! [`leaving`] add this VM to the fleet and remove it, [`peers`] chooses who
+//! exchanges heartbeats, [`platform`] evaluates the platform's list of VMs, and
+//! [`store`] paces the requests to the store.
 
 mod answers;
 mod joining;
@@ -23,15 +24,17 @@
 use crate::message::MembershipMessage;
 use crate::tables::Timer;
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub messages: Vec<(Sender, MembershipMessage)>,
     pub store: Vec<StoreEvent>,
+    /// The platform's list of VMs, if a new one arrived.
     pub vm_list: Option<Vec<VmStatus>>,
     pub due: Vec<Timer>,
+    /// Whether this VM was asked to leave the fleet.
     pub drain: bool,
-    /// Whether a new revision came into force, which children have to hear of.
+    /// Whether a new configuration revision has to be sent to child VMs.
     pub announce: bool,
 }
 
@@ -75,7 +78,7 @@
     store::drive(tick);
 }
 
-/// Handles a message of another VM.
+/// Dispatches a message from another VM.
 fn handle(tick: &mut Tick<'_>, sender: &Sender, message: MembershipMessage) {
     match message {
         MembershipMessage::Heartbeat(heartbeat) => answers::heartbeat(tick, sender, &heartbeat),
--- a/crates/core/src/systems/membership/peers.rs
+++ b/crates/core/src/systems/membership/peers.rs
@@ -1,24 +1,28 @@
-//! Which VMs exchange heartbeats.
+//! Chooses which VMs exchange heartbeats.
+//!
+//! Small fleets use a full mesh. Larger ones use a tree of parents for
+//! confirmations and a ring of watchers for failure detection.
 
 use super::super::Tick;
 use crate::ids::VmName;
 use crate::tables::{Peers, View, hash_name};
 
-/// Fleets up to this size send heartbeats to all members.
+/// Largest fleet in which every member sends heartbeats to all others.
 pub(super) const MAX_ALL_TO_ALL: usize = 9;
 
-/// VMs that watch each member of a larger fleet.
+/// Number of VMs that watch each member of a larger fleet.
 ///
-/// One watcher would leave a member unwatched when both fail together.
+/// With a single watcher, a member that fails together with it would be
+/// unwatched.
 const WATCHERS: usize = 2;
 
-/// Keeps the hashes of the ring apart from those of owners.
+/// Seed that makes the ring's hashes differ from those that choose owners.
 const RING: u64 = 11;
 
-/// Parents of each member of a larger fleet; a writer has one, the other writer.
+/// Number of parents of each member of a larger fleet.
 ///
-/// With one parent, its death would end the leases of all below it before the
-/// next view came.
+/// A writer has only the other writer. With a single parent, its failure would
+/// let the leases of all its descendants expire before the next view.
 const PARENTS: usize = 2;
 
 /// Chooses the peers of this VM in the view in force.
@@ -35,14 +39,14 @@
         tree(view, me, tick.settings.fan_out)
     };
     for (vm, since_us) in &mut peers.watched {
-        // A member that was watched before gets no new time to be silent in.
+        // A member that was watched before keeps its silence timer.
         let before = tick.tables.membership.peers.watched.get(vm);
         *since_us = before.copied().unwrap_or(now_us);
     }
     tick.tables.membership.peers = peers;
 }
 
-/// Returns the VMs that watch a member, in the view in force.
+/// Returns the VMs that watch a member in a view.
 pub(super) fn watchers_of(view: &View, vm: &VmName) -> Vec<VmName> {
     if view.members.len() <= MAX_ALL_TO_ALL {
         return others(view, vm);
@@ -52,7 +56,7 @@
     at.map_or_else(Vec::new, |at| after(&ring, at))
 }
 
-/// Returns the peers of a VM that is no member: it asks a few that are.
+/// Returns the peers of a VM that is no member: a few members, by hash.
 fn outside(view: &View, me: &VmName) -> Peers {
     let mut members = others(view, me);
     members.sort_by_key(|vm| hash_name(vm.as_str(), hash_name(me.as_str(), RING)));
@@ -64,7 +68,7 @@
     }
 }
 
-/// Returns the peers in a small fleet.
+/// Returns the peers in a small fleet: all other members.
 fn all(view: &View, me: &VmName) -> Peers {
     let others = others(view, me);
     Peers {
@@ -77,9 +81,9 @@
 
 /// Returns the peers in a large fleet.
 ///
-/// Members stand in pairs; both VMs of a pair are the parents of those in the
-/// pairs below it. The writers are the first pair. Parents and watchers take
-/// part of the fan-out, children the rest.
+/// Members form a tree of pairs; both VMs of a pair are the parents of the
+/// members in the pairs below. The writers are the root pair. The fan-out
+/// covers parents, watchers and children.
 fn tree(view: &View, me: &VmName, fan_out: usize) -> Peers {
     let ring = ring(view);
     let at = ring.iter().position(|vm| vm == me).unwrap_or(0);
@@ -92,7 +96,7 @@
     }
 }
 
-/// Returns the VMs that a member asks for confirmations.
+/// Returns the VMs from which a member requests confirmations.
 fn parents(view: &View, ring: &[VmName], me: &VmName, fan_out: usize) -> Vec<VmName> {
     if view.is_writer(me) {
         let others = view.writers.iter().filter(|vm| *vm != me);
@@ -109,7 +113,7 @@
         .collect()
 }
 
-/// Returns the members in the order of the ring, which mixes failure domains.
+/// Returns the members in ring order, which mixes failure domains.
 fn ring(view: &View) -> Vec<VmName> {
     let mut ring: Vec<_> = view
         .members
@@ -120,14 +124,14 @@
     ring.into_iter().map(|(_, vm)| vm.clone()).collect()
 }
 
-/// Returns the VMs that follow one in the ring.
+/// Returns the members after a position in the ring, which watch the member there.
 fn after(ring: &[VmName], at: usize) -> Vec<VmName> {
     (1..=WATCHERS)
         .map(|step| ring[(at + step) % ring.len()].clone())
         .collect()
 }
 
-/// Returns all members but one VM.
+/// Returns all members except one VM.
 fn others(view: &View, me: &VmName) -> Vec<VmName> {
     view.members
         .iter()
--- a/crates/core/src/systems/membership/platform.rs
+++ b/crates/core/src/systems/membership/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, and the death of all writers.
+//! The platform's list of VMs, and replacement of the writers when all have ended.
 
 use std::collections::BTreeSet;
 
@@ -9,18 +9,19 @@
 use crate::input::VmStatus;
 use crate::tables::hash_name;
 
-/// How much later VMs that are no members replace the writers, so that members come first.
+/// Additional delay for VMs that are no members, so that members replace the writers first.
 const OUTSIDER_DELAY_US: u64 = 8_000_000;
 
-/// Time over which VMs that may replace the writers are spread.
+/// Maximum jitter between VMs that may replace the writers.
 const SPREAD_US: u64 = 2_000_000;
 
-/// Keeps the hashes of the spread apart from others.
+/// Seed that makes the hashes of the jitter differ from others.
 const REPLACEMENT: u64 = 13;
 
-/// Takes the platform's list over.
+/// Applies a new list from the platform.
 ///
-/// A VM that was never on the list is not gone: the list lags.
+/// Only VMs that were listed before count as missing, since the list lags
+/// behind starting VMs.
 pub(super) fn handle(tick: &mut Tick<'_>, vms: Vec<VmStatus>) {
     let platform = &mut tick.tables.membership.platform;
     let leaving = vms.iter().filter(|status| status.leaving);
@@ -32,10 +33,11 @@
     check_writers(tick);
 }
 
-/// Returns the members that the platform calls gone and that are silent.
+/// Returns the silent members that the platform no longer lists.
 ///
-/// The list may be older than the present start of a VM, so one report of its
-/// silence is needed. In a small fleet the writer itself hears every member.
+/// The list may be older than the VM's current incarnation, so a report of its
+/// silence is required as well. In a small fleet the writer receives heartbeats
+/// from every member and needs no report.
 pub(super) fn gone(tick: &Tick<'_>) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
     let hears_all = !tables.membership.peers.is_tree;
@@ -50,7 +52,7 @@
         .collect()
 }
 
-/// Returns whether a member that is missing from the list was heard after all.
+/// Returns whether a member sent a message within half the suspicion timeout.
 fn is_alive(tick: &Tick<'_>, vm: &VmName) -> bool {
     let limit_us = tick.settings.suspect_ms * 1_000 / 2;
     let row = tick.tables.vms.get(vm);
@@ -58,10 +60,10 @@
         && row.is_some_and(|row| tick.now_us.saturating_sub(row.heard_us) <= limit_us)
 }
 
-/// Takes note of when all writers are gone.
+/// Records since when all writers have ended.
 ///
-/// Confirmations come from writers only, so that one which arrived within the
-/// time of a lease says that a writer lives, whatever the list says.
+/// Only writers issue confirmations, so one within the lease time shows that a
+/// writer is alive, whatever the list says.
 pub(super) fn check_writers(tick: &mut Tick<'_>) {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let age_us = tables.lease.age_us(tick.now_us);
@@ -77,7 +79,7 @@
     }
 }
 
-/// Returns whether a writer's process has ended: it was started again, or its VM is gone.
+/// Returns whether a writer's process has ended: it was restarted, or its VM is no longer listed.
 fn is_gone(tick: &Tick<'_>, vm: &VmName) -> bool {
     let tables = &*tick.tables;
     let Some(member) = tables.view.member(vm) else {
@@ -95,7 +97,8 @@
         .member_at(&tick.settings.vm, tick.settings.incarnation)
         .is_some();
     let platform = &tables.membership.platform;
-    // A VM outside the view may have started after a writer went; it waits longer.
+    // A VM outside the view may have started after the writer left the list, so it
+    // cannot require that the writer was listed before. It waits longer instead.
     let is_missing = if is_member {
         platform.gone.contains(vm)
     } else {
@@ -107,10 +110,10 @@
     is_missing && !is_alive(tick, vm)
 }
 
-/// Returns from when this VM, which is no writer, may write the next view.
+/// Returns when this VM, which is no writer, may write the next view.
 ///
-/// The writers' last promises have ended by then, and VMs follow one another
-/// so that not all of them write at once.
+/// By then the writers' last promises have expired. Jitter keeps the VMs from
+/// all writing at once.
 pub(super) fn replaces_writers_us(tick: &Tick<'_>) -> Option<u64> {
     let since_us = tick.tables.membership.writers_gone_us?;
     let settings = tick.settings;
--- a/crates/core/src/systems/membership/rounds.rs
+++ b/crates/core/src/systems/membership/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of heartbeats.
+//! Sends heartbeats in numbered rounds.
 
 use super::super::Tick;
 use super::{joining, leases, platform, suspicion, views};
@@ -6,10 +6,10 @@
 use crate::message::{Heartbeat, MembershipMessage};
 use crate::tables::{Timer, hash_name};
 
-/// Rounds whose answers still count; later answers could not extend a lease.
+/// Rounds whose answers are accepted; later answers could not extend a lease.
 const KEPT_ROUNDS: usize = 16;
 
-/// VMs in the settings that are asked for the view in each round.
+/// Number of configured peers that are asked for the view in each round.
 const ASKED_PEERS: usize = 3;
 
 /// Starts the next round.
@@ -30,14 +30,14 @@
     views::forget_old(tick);
 }
 
-/// Numbers the round and plans the next one.
+/// Assigns the round its number and schedules the next one.
 fn begin_round(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let settings = tick.settings;
     let membership = &mut tick.tables.membership;
     if membership.round == 0 {
-        // Rounds of two starts of a process differ, so that an answer to the
-        // former one is not taken for an answer to this one.
+        // Each incarnation numbers its rounds from a different start, so that an
+        // answer to the previous incarnation does not match a round of this one.
         membership.round = hash_name(settings.vm.as_str(), settings.incarnation.0) >> 16;
     }
     membership.round += 1;
@@ -49,10 +49,10 @@
     tick.tables.timers.set(due_us, Timer::Heartbeat);
 }
 
-/// Asks some of the VMs in the settings for the view, in case the store does not answer.
+/// Asks some of the configured peers for the view, in case the store does not answer.
 ///
-/// Each round asks the next ones: the view of a large fleet is long, and a VM
-/// that asked all would get it from each.
+/// Rounds rotate through the peers: asking all at once would return the view,
+/// which is large in a large fleet, once per peer.
 fn ask_settings_peers(tick: &mut Tick<'_>) {
     let peers = &tick.settings.peers;
     let first = tick.tables.membership.round as usize * ASKED_PEERS;
@@ -83,13 +83,16 @@
     }
 }
 
-/// Returns whether parents are asked in this round: in a large fleet once for each touch.
+/// Returns whether this round asks the parents for a confirmation.
+///
+/// Large fleets ask once per touch interval.
 fn is_parents_turn(tick: &Tick<'_>) -> bool {
     let rounds = (tick.settings.touch_ms / tick.settings.heartbeat_ms).max(1);
     tick.tables.membership.round.is_multiple_of(rounds)
 }
 
-/// Returns whether the lease is so old that any member is asked for a confirmation.
+/// Returns whether the lease is past two thirds of its time, so that all peers
+/// are asked for a confirmation.
 fn is_lease_old(tick: &Tick<'_>) -> bool {
     let limit_us = tick.settings.lease_ms * 1_000 * 2 / 3;
     tick.tables
@@ -98,7 +101,7 @@
         .is_none_or(|age_us| age_us > limit_us)
 }
 
-/// Tells the writers that this VM is leaving.
+/// Announces to the writers that this VM is leaving.
 pub(super) fn tell_leaving(tick: &mut Tick<'_>) {
     let (settings, view) = (tick.settings, &tick.tables.view);
     if view.member_at(&settings.vm, settings.incarnation).is_none() {
@@ -110,7 +113,7 @@
     }
 }
 
-/// Sends one heartbeat.
+/// Sends a heartbeat; `asks` requests a confirmation of the lease.
 fn send(tick: &mut Tick<'_>, to: &VmName, asks: bool) {
     let tables = &*tick.tables;
     let heartbeat = Heartbeat {
--- a/crates/core/src/systems/membership/store.rs
+++ b/crates/core/src/systems/membership/store.rs
@@ -1,4 +1,7 @@
-//! Requests to the store, one at a time and with growing pauses while it does not answer.
+//! Requests to the store, one at a time, with exponential backoff while it does not answer.
+//!
+//! Writers regularly touch the view: they rewrite it unchanged, which proves that
+//! it is still in force.
 
 use super::super::Tick;
 use super::{leases, views, writing};
@@ -6,25 +9,25 @@
 use crate::output::{Decision, Output, StoreRequest};
 use crate::tables::{PendingRequest, RequestKind, Timer, UnresolvedWrite, View, hash_name};
 
-/// The first pause after a request that was not answered.
+/// Initial backoff after a request that was not answered.
 const MIN_PAUSE_US: u64 = 200_000;
 
-/// How recently the store must have answered before a writer sends it a view.
+/// Maximum age of the store's last answer when a writer sends it a view.
 ///
-/// A view that may still be written rules promises out for the whole of an
-/// outage. A touch right before the view shortens the time in which an outage
+/// A view that may still be written prevents promises for the whole of an
+/// outage. Touching right before the write reduces the time in which an outage
 /// can begin unnoticed from the touch interval to one answer of the store.
 const FRESH_US: u64 = 100_000;
 
-/// The longest pause.
+/// Maximum backoff.
 const MAX_PAUSE_US: u64 = 10_000_000;
 
-/// Time after which an answer is no longer waited for.
+/// Timeout of a request.
 ///
-/// The store's client gives up long before; this guards against a lost event.
+/// The store's client times out long before; this guards against a lost event.
 const GIVE_UP_US: u64 = 15_000_000;
 
-/// Handles an answer of the store.
+/// Dispatches an answer of the store, or its absence.
 pub(super) fn handle(tick: &mut Tick<'_>, event: StoreEvent) {
     let pending = tick.tables.membership.store.pending.take();
     if event != StoreEvent::Unavailable {
@@ -39,7 +42,7 @@
     }
 }
 
-/// Takes note that the store answers.
+/// Records that the store answers and resets the backoff.
 fn note_answer(tick: &mut Tick<'_>) {
     let store = &mut tick.tables.membership.store;
     let was_down = store.failures > 1;
@@ -66,7 +69,7 @@
     if views::adopt(tick, &stored.view) {
         tick.tables.membership.store.is_behind = false;
     } else {
-        // Another view of the same epoch came from an older state as well.
+        // A different view of the same epoch also means that the store holds an older state.
         let is_behind = stored.view != tick.tables.view;
         tick.tables.membership.store.is_behind = is_behind;
         if is_behind {
@@ -79,14 +82,15 @@
     pause_isolated(tick);
 }
 
-/// Settles whether a view whose write was not answered has been written.
+/// Determines whether a view whose write was not answered has been written.
 fn resolve(tick: &mut Tick<'_>, stored: &StoredView) {
     let link = &mut tick.tables.membership.store;
     let Some(unresolved) = &link.unresolved else {
         return;
     };
     let is_written = stored.view == unresolved.view;
-    // At the same version the write may still arrive; an update of this VM settles it.
+    // At the same version the write may still take effect, until another update by
+    // this VM succeeds.
     if is_written || stored.version != unresolved.expected_version {
         link.unresolved = None;
     }
@@ -95,7 +99,7 @@
     }
 }
 
-/// Lets a VM that is cut off from the others read the view less and less often.
+/// Backs off the reads of a VM that is cut off from the others.
 fn pause_isolated(tick: &mut Tick<'_>) {
     if !is_cut_off(tick) {
         tick.tables.membership.store.lonely_reads = 0;
@@ -128,7 +132,7 @@
     }
 }
 
-/// Handles a touch: the view was in force when it was sent, or later.
+/// Handles a successful touch: the view was in force when it was sent, or later.
 fn touched(tick: &mut Tick<'_>, version: u64, sent_us: u64) {
     let link = &mut tick.tables.membership.store;
     link.unresolved = None;
@@ -138,10 +142,10 @@
     leases::confirm(tick, sent_us);
 }
 
-/// Handles an update that lost against another one.
+/// Handles an update that failed because the version had changed.
 fn conflict(tick: &mut Tick<'_>) {
     let conflicts = tick.tables.membership.store.conflicts + 1;
-    // The first conflict is common; more in a row mean that reads lag behind.
+    // A single conflict is common; several in a row mean that reads are stale.
     let pause_us = if conflicts > 1 {
         pause_us(tick, conflicts - 1)
     } else {
@@ -165,17 +169,17 @@
     if pending.is_some_and(|pending| pending.kind == RequestKind::Write) {
         link.needs_read = true;
     }
-    // One lost answer is nothing to report.
+    // A single lost answer is not logged.
     if failures == 2 {
         tick.decide(Decision::StoreSilent);
     }
 }
 
-/// Returns the pause after some requests in a row without success.
+/// Returns the backoff after `failures` failed requests in a row.
 ///
-/// Pauses double from 0.2 s to 10 s. A hash of the VM's name and a counter
-/// spreads them between half and the whole, so that VMs do not ask together
-/// when the store returns.
+/// It doubles from 0.2 s to 10 s. Jitter from a hash of the VM's name and a
+/// request counter varies it between half and all of that, so that VMs do not
+/// send requests together when the store returns.
 fn pause_us(tick: &Tick<'_>, failures: u32) -> u64 {
     let doublings = failures.saturating_sub(1).min(16);
     let full_us = (MIN_PAUSE_US << doublings).min(MAX_PAUSE_US);
@@ -184,7 +188,7 @@
     full_us / 2 + hash % (full_us / 2 + 1)
 }
 
-/// Sends the next request that is due, or plans it.
+/// Sends the next request if it is due, and schedules it otherwise.
 pub(super) fn drive(tick: &mut Tick<'_>) {
     give_up_late(tick);
     if tick.tables.membership.store.pending.is_some() {
@@ -201,14 +205,14 @@
     }
 }
 
-/// What the store is asked for next.
+/// The next request to the store.
 enum Wanted {
     Read,
     Touch,
     Write(View),
 }
 
-/// Treats a request as unanswered after a long time.
+/// Treats the pending request as unanswered after its timeout.
 fn give_up_late(tick: &mut Tick<'_>) {
     let pending = tick.tables.membership.store.pending;
     if pending.is_some_and(|pending| tick.now_us > pending.sent_us + GIVE_UP_US) {
@@ -217,7 +221,7 @@
     }
 }
 
-/// Plans the next look at the store.
+/// Sets a timer for the next request, unless an earlier one is set.
 fn plan(tick: &mut Tick<'_>, due_us: u64) {
     let store = &mut tick.tables.membership.store;
     if store.timer_us.is_none_or(|at_us| due_us < at_us) {
@@ -226,7 +230,7 @@
     }
 }
 
-/// Returns the request that is due first.
+/// Returns the request that is due first, and when.
 fn wanted(tick: &mut Tick<'_>) -> Option<(u64, Wanted)> {
     let now_us = tick.now_us;
     if tick.tables.membership.store.needs_read {
@@ -242,32 +246,33 @@
     });
     let touch = touch_due_us(tick).map(|due_us| (due_us, Wanted::Touch));
     let read = read_due_us(tick).map(|due_us| (due_us, Wanted::Read));
-    // Of requests that are due, the first in this order is sent.
+    // Of several requests that are due, the first in this order is sent.
     [write, touch, read]
         .into_iter()
         .flatten()
         .min_by_key(|(due_us, _)| (*due_us).max(now_us))
 }
 
-/// Returns whether a writer touches the view before it writes the next one.
+/// Returns whether this writer has to touch the view before it writes the next one.
 fn touches_first(tick: &Tick<'_>) -> bool {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let store = &tables.membership.store;
     let is_fresh = |at_us: u64| tick.now_us.saturating_sub(at_us) <= FRESH_US;
-    // A store that holds an older view is known to answer, and a touch would lose.
+    // A store that holds an older view has answered, and a touch would conflict.
     tables.view.is_writer_at(&settings.vm, settings.incarnation)
         && !store.is_behind
         && !store.answered_us.is_some_and(is_fresh)
 }
 
-/// Returns the request of a VM that knows no view.
+/// Returns the request of a VM that knows no view: read one, or create the first.
 fn found_or_read(tick: &Tick<'_>) -> (u64, Wanted) {
     let membership = &tick.tables.membership;
     if !membership.store.is_absent {
         return (tick.now_us, Wanted::Read);
     }
     let started_us = membership.rounds.front().map_or(0, |(_, at_us)| *at_us);
-    // A store that lost its state must not start a second fleet: peers are asked first.
+    // A store that lost its state must not start a second fleet, so configured peers
+    // get time to answer with the view.
     let wait_us = if tick.settings.peers.is_empty() {
         0
     } else {
@@ -277,7 +282,7 @@
     (started_us + wait_us, first)
 }
 
-/// Returns when this VM touches the view next, if it is a writer.
+/// Returns when this VM has to touch the view next, if it is a writer.
 fn touch_due_us(tick: &Tick<'_>) -> Option<u64> {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let view = &tables.view;
@@ -287,8 +292,8 @@
     let interval_us = settings.touch_ms * 1_000;
     let touched_us = tables.membership.store.touched_us.unwrap_or(0);
     let next_us = touched_us + interval_us;
-    // The second writer touches only when the store does not answer the first,
-    // or when it hears no confirmation from the first.
+    // The second writer touches only if the store does not answer the first one,
+    // or if it receives no confirmation from the first one.
     if view.writers.first() == Some(&settings.vm) || leases::hears_promise(tick) {
         return Some(next_us);
     }
@@ -296,12 +301,12 @@
     Some(next_us.max(confirmed_us + interval_us * 2))
 }
 
-/// Returns when this VM reads the view because it hears nothing from the others.
+/// Returns when this VM reads the view next, if it is cut off from the others.
 fn read_due_us(tick: &Tick<'_>) -> Option<u64> {
     is_cut_off(tick).then_some(tick.tables.membership.store.lonely_until_us)
 }
 
-/// Returns whether this VM has heard no confirmation for longer than a lease.
+/// Returns whether this VM has received no confirmation for longer than a lease.
 fn is_cut_off(tick: &Tick<'_>) -> bool {
     let limit_us = tick.settings.lease_ms * 1_000;
     let age_us = tick.tables.lease.age_us(tick.now_us);
@@ -310,7 +315,7 @@
     age_us.unwrap_or(known_us) > limit_us
 }
 
-/// Sends a request.
+/// Sends a request and records it as pending.
 fn send(tick: &mut Tick<'_>, wanted: Wanted) {
     let expected_version = tick.tables.view_version;
     let link = &mut tick.tables.membership.store;
--- a/crates/core/src/systems/membership/suspicion.rs
+++ b/crates/core/src/systems/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Finds members that have failed.
+//! Failure detection from reports of silent members.
 
 use std::collections::BTreeSet;
 
@@ -9,10 +9,10 @@
 use crate::output::Decision;
 use crate::tables::{Suspicion, Vm};
 
-/// Rounds of heartbeats for which a report counts; it is repeated in each round.
+/// Heartbeat rounds after which a report expires; watchers repeat it in each round.
 const REPORT_ROUNDS: u64 = 3;
 
-/// Reports members that this VM watches and that have been silent.
+/// Reports watched members that have been silent for too long.
 pub(super) fn check(tick: &mut Tick<'_>) {
     restart_after_pause(tick);
     let limit_us = tick.settings.suspect_ms * 1_000;
@@ -34,9 +34,9 @@
     }
 }
 
-/// Counts silence from now on if this VM itself was paused.
+/// Restarts the silence of all watched members if this VM itself was paused.
 ///
-/// Heartbeats that arrived during the pause are still waiting to be read.
+/// Heartbeats that arrived during the pause have not been read yet.
 fn restart_after_pause(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let limit_us = tick.settings.heartbeat_ms * 2_000;
@@ -49,7 +49,7 @@
     }
 }
 
-/// Tells the writers about a silent member.
+/// Reports a silent member to the writers.
 fn report(tick: &mut Tick<'_>, vm: VmName, incarnation: Incarnation) {
     let writers = tick.tables.view.writers.clone();
     for writer in writers {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Takes note of a report.
+/// Records a report about a silent member.
 pub(super) fn record(tick: &mut Tick<'_>, sender: &Sender, vm: VmName, incarnation: Incarnation) {
     let now_us = tick.now_us;
     let view = &tick.tables.view;
@@ -80,10 +80,10 @@
     }
 }
 
-/// Returns the members that all live VMs that watch them call silent.
+/// Returns the members that all their live watchers report as silent.
 ///
-/// Watchers that are to be removed themselves have no say. The result is the
-/// largest set of suspects in which each is reported by all its watchers
+/// Watchers that are to be removed themselves are not counted. The result is
+/// the largest set of suspects in which each is reported by all its watchers
 /// outside the set, and by at least one.
 pub(super) fn failed(tick: &Tick<'_>, gone: &BTreeSet<VmName>) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
@@ -116,7 +116,7 @@
     }
 }
 
-/// Returns whether a watcher has reported a member lately.
+/// Returns whether a watcher's report about a member has not expired.
 fn is_reported(tick: &Tick<'_>, vm: &VmName, by: &VmName) -> bool {
     let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_ROUNDS;
     let suspect = tick.tables.membership.suspects.get(vm);
@@ -125,7 +125,8 @@
         .is_some_and(|at_us| tick.now_us.saturating_sub(*at_us) <= kept_us)
 }
 
-/// Returns whether this VM itself has heard from a member lately.
+/// Returns whether this VM itself received a message from a member within the
+/// suspicion timeout.
 pub(super) fn is_heard(tick: &Tick<'_>, vm: &VmName) -> bool {
     let tables = &*tick.tables;
     let limit_us = tick.settings.suspect_ms * 1_000;
@@ -135,7 +136,7 @@
     row.incarnation == member.incarnation && tick.now_us.saturating_sub(row.heard_us) <= limit_us
 }
 
-/// Forgets suspects that nobody has reported lately.
+/// Removes suspects whose reports have all expired.
 pub(super) fn forget_cleared(tick: &mut Tick<'_>) {
     let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_ROUNDS;
     let oldest_us = tick.now_us.saturating_sub(kept_us);
--- a/crates/core/src/systems/membership/views.rs
+++ b/crates/core/src/systems/membership/views.rs
@@ -1,4 +1,4 @@
-//! Adopts views and passes them on.
+//! Adopts views and propagates them to other VMs.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 use crate::output::Decision;
 use crate::tables::{Departed, PastView, Timer, View, ViewChange, ViewDelta, Vm};
 
-/// Changes that are kept for VMs that missed them; others get the whole view.
+/// Number of deltas kept for VMs that missed them; VMs further behind get the whole view.
 const KEPT_DELTAS: usize = 64;
 
-/// Views that are kept for the takeover wait.
+/// Number of past views kept for the takeover wait.
 ///
-/// Owners of views before these count as unknown, which only lengthens waits.
+/// Owners in older views are treated as unknown, which only lengthens waits.
 const KEPT_VIEWS: usize = 16;
 
-/// Time after which a view is asked for again.
+/// Time after which an unanswered request for a view is repeated.
 const ASK_AGAIN_US: u64 = 200_000;
 
-/// How long removed members and silent strangers are remembered.
+/// How long records of removed members and of silent VMs are retained.
 const REMEMBERED_US: u64 = 60_000_000;
 
 /// Adopts a view if it is newer; returns whether it was.
@@ -47,7 +47,7 @@
     true
 }
 
-/// Tells the other systems what changed, and remembers who was removed.
+/// Publishes the change to the other systems and records the removed members.
 fn report_change(tick: &mut Tick<'_>, before: &View) {
     let (now_us, settings) = (tick.now_us, tick.settings);
     let tables = &mut *tick.tables;
@@ -79,7 +79,7 @@
     });
 }
 
-/// Keeps the difference for VMs that know the view before.
+/// Stores the delta for VMs that know only the previous view.
 fn keep_delta(tick: &mut Tick<'_>, before: &View) {
     let delta = before.delta_to(&tick.tables.view);
     let deltas = &mut tick.tables.membership.deltas;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Keeps the view before until the takeover wait is over.
+/// Stores the previous view until the takeover wait is over.
 fn keep_past(tick: &mut Tick<'_>, before: View, since_us: u64) {
     let (now_us, wait_us) = (tick.now_us, tick.settings.takeover_wait_us());
     let past = &mut tick.tables.membership.past_views;
@@ -106,7 +106,7 @@
     }
 }
 
-/// Takes note of process starts that the view names.
+/// Resets the rows of VMs for which the view has a newer incarnation.
 fn raise_incarnations(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let tables = &mut *tick.tables;
@@ -119,7 +119,7 @@
     }
 }
 
-/// Forgets joins, departures and reports that the view has taken up.
+/// Removes joins, departures and reports that the new view has made obsolete.
 fn forget_proposals(tick: &mut Tick<'_>) {
     let tables = &mut *tick.tables;
     let (view, membership) = (&tables.view, &mut tables.membership);
@@ -137,9 +137,10 @@
     membership.view_asked = None;
 }
 
-/// Passes a new view on to those who asked this VM lately and do not know it.
+/// Sends a new view to VMs that asked this one recently and do not know it.
 ///
-/// In a small fleet only the writer does, since heartbeats reach everybody soon.
+/// In a small fleet only the writers do: heartbeats soon tell every member of
+/// the new epoch.
 fn pass_on(tick: &mut Tick<'_>) {
     let tables = &*tick.tables;
     let epoch = tables.view.epoch;
@@ -158,14 +159,14 @@
         .collect();
     for (vm, known) in behind {
         if let Some(row) = tick.tables.vms.get_mut(&vm) {
-            // A view that is lost on its way is asked for after the next heartbeat.
+            // If the message is lost, the receiver requests the view after the next heartbeat.
             row.told_epoch = epoch;
         }
         send_view(tick, &vm, known);
     }
 }
 
-/// Sends the view to members that it has just added.
+/// Sends the view to the members that it added.
 pub(super) fn welcome(tick: &mut Tick<'_>) {
     let epoch = tick.tables.view.epoch;
     let added: Vec<VmName> = tick
@@ -193,7 +194,7 @@
     }
 }
 
-/// Sends the changes since a view, or the whole view if they are not kept.
+/// Sends the deltas since the known epoch, or the whole view if they are not stored.
 fn send_view(tick: &mut Tick<'_>, vm: &VmName, known: Epoch) {
     let deltas: Vec<ViewDelta> = tick
         .tables
@@ -203,7 +204,7 @@
         .skip_while(|delta| delta.from != known)
         .cloned()
         .collect();
-    // The first difference is the whole view as seen from no view at all.
+    // A VM without a view gets the whole one: a delta from no view would be no smaller.
     let message = if deltas.is_empty() || known == Epoch::default() {
         MembershipMessage::ViewIs(Arc::new(tick.tables.view.clone()))
     } else {
@@ -212,7 +213,7 @@
     tick.send(vm, message);
 }
 
-/// Asks for a view that another VM knows and this one does not.
+/// Requests the view from a VM that knows a newer epoch.
 pub(super) fn note_epoch(tick: &mut Tick<'_>, vm: &VmName, epoch: Epoch) {
     let (now_us, known) = (tick.now_us, tick.tables.view.epoch);
     if epoch <= known {
@@ -226,10 +227,10 @@
     tick.send(vm, MembershipMessage::ViewRequest { known });
 }
 
-/// Adopts views given by their changes, one after the other.
+/// Adopts views from their deltas, one after the other.
 ///
-/// A VM that took several changes as one could not pass them on to those that
-/// know a view between.
+/// Merging several deltas into one would leave none to send to VMs that know
+/// an intermediate view.
 pub(super) fn adopt_deltas(tick: &mut Tick<'_>, sender: &Sender, deltas: &[ViewDelta]) {
     for delta in deltas {
         if let Some(view) = tick.tables.view.with_delta(delta) {
@@ -240,7 +241,7 @@
     note_epoch(tick, &sender.vm, newest);
 }
 
-/// Forgets removed members and silent strangers after a while.
+/// Removes expired records of removed members and of silent VMs.
 pub(super) fn forget_old(tick: &mut Tick<'_>) {
     let oldest_us = tick.now_us.saturating_sub(REMEMBERED_US);
     let tables = &mut *tick.tables;
--- a/crates/core/src/systems/membership/writing.rs
+++ b/crates/core/src/systems/membership/writing.rs
@@ -7,25 +7,25 @@
 use crate::ids::{Epoch, VmName};
 use crate::tables::{Member, View, hash_name};
 
-/// Time for which joins are collected, so that a fleet that starts makes few views.
+/// Time for which joins are batched, so that a starting fleet needs few views.
 const COLLECT_US: u64 = 20_000;
 
-/// Keeps the hashes of the choice of writers apart from others.
+/// Seed that makes the hashes that choose writers differ from others.
 const WRITERS: u64 = 14;
 
 /// The number of writers of a view.
 const WRITER_COUNT: usize = 2;
 
-/// A view to be written.
+/// A view that should be written next.
 #[derive(Debug)]
 pub(super) struct Proposal {
-    /// The view.
+    /// The proposed view.
     pub view: View,
-    /// When it may be written at the earliest.
+    /// The earliest time at which it may be written.
     pub due_us: u64,
 }
 
-/// Returns the next view if one is wanted and this VM may write it.
+/// Returns the next view if the current one has to change and this VM may write it.
 pub(super) fn proposal(tick: &mut Tick<'_>) -> Option<Proposal> {
     let settings = tick.settings;
     if !may_change(tick) {
@@ -64,7 +64,7 @@
     })
 }
 
-/// Returns whether there is any reason to look for a change of the view.
+/// Returns whether anything may require a new view.
 fn may_change(tick: &Tick<'_>) -> bool {
     let (view, membership) = (&tick.tables.view, &tick.tables.membership);
     let lacks_writers = view.writers.len() < WRITER_COUNT.min(view.members.len());
@@ -78,7 +78,7 @@
         || !membership.platform.leaving.is_empty()
 }
 
-/// Returns the first view of a fleet.
+/// Returns the first view of a fleet, with this VM as its only member.
 pub(super) fn first_view(tick: &Tick<'_>) -> View {
     let epoch = Epoch::default().next();
     let member = joining::entry(tick, epoch);
@@ -89,7 +89,7 @@
     }
 }
 
-/// Returns the members that the next view does not name.
+/// Returns the members that the next view leaves out.
 fn removed(tick: &Tick<'_>, is_writer: bool) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
     let mut removed = platform::gone(tick);
@@ -97,13 +97,13 @@
     removed.extend(failed);
     removed.extend(tables.membership.leaving.keys().cloned());
     if !is_writer {
-        // The writers are gone, which is why this VM writes the view.
+        // A VM that is no writer proposes a view only when all writers have ended.
         removed.extend(tables.view.writers.iter().cloned());
     }
     removed
 }
 
-/// Returns the view without those removed and with those that asked to join.
+/// Builds the next view from the current one, the removed members and the pending joins.
 fn next_view(tick: &Tick<'_>, removed: &BTreeSet<VmName>) -> View {
     let tables = &*tick.tables;
     let mut view = tables.view.clone();
@@ -126,16 +126,17 @@
     if view.members.is_empty()
         && let Some(last) = tables.view.member_at(&settings.vm, settings.incarnation)
     {
-        // All leave: this writer stays until the others have gone.
+        // All members are leaving: this writer stays until the others are removed.
         view.put(last.clone());
     }
     choose_writers(&mut view, &tables.view);
     view
 }
 
-/// Keeps the writers that stay members and adds others, in different failure domains.
+/// Keeps the writers that remain members and adds missing ones, preferably from
+/// different failure domains.
 ///
-/// Members that the platform is about to take away are chosen last.
+/// Members that the platform is about to remove are chosen last.
 fn choose_writers(view: &mut View, before: &View) {
     let members = &view.members;
     let stays = |vm: &VmName| {
@@ -172,7 +173,7 @@
     view.writers = writers;
 }
 
-/// Returns how long a writer waits before it writes a view that is wanted.
+/// Returns how long this writer waits before it writes the next view.
 fn delay_us(tick: &Tick<'_>, removed: &BTreeSet<VmName>) -> u64 {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let first = tables.view.writers.first();
@@ -184,11 +185,12 @@
         .filter(|vm| !leaving.contains_key(*vm))
         .count();
     if lost * 2 >= tables.view.members.len() {
-        // This VM may be the one that is cut off: the other side goes first.
+        // With half of the members lost, this VM may be the one that is cut off, so
+        // the other side gets the time to write first.
         return (settings.lease_ms + settings.suspect_ms) * 1_000;
     }
     if !is_first && !first_fails {
-        // The first writer is alive and writes the view; this is for when it cannot.
+        // The first writer normally writes the view; this delay covers the case that it cannot.
         return settings.touch_ms * 2_000;
     }
     if removed.is_empty() { COLLECT_US } else { 0 }
--- a/crates/core/src/systems/mod.rs
+++ b/crates/core/src/systems/mod.rs
@@ -24,9 +24,10 @@
 use crate::output::{Decision, Output};
 use crate::tables::{Tables, ViewChange};
 
-/// What the systems work on during one tick.
+/// Context that the systems share during one tick.
 #[derive(Debug)]
 pub(crate) struct Tick<'a> {
+    /// Time of the tick on this VM's clock.
     pub now_us: u64,
     pub settings: &'a CoreSettings,
     pub tables: &'a mut Tables,
@@ -41,7 +42,7 @@
     pub incarnation: Incarnation,
 }
 
-/// Rows and messages that wait for each system.
+/// Input that is waiting for each system.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub membership: membership::Work,
@@ -56,9 +57,9 @@
     pub placement: placement::Work,
     pub orders: orders::Work,
     pub charges: charges::Work,
-    /// Views that came into force in this pass, which every system may read.
+    /// Views that came into force in this pass, readable by every system.
     ///
-    /// They are cleared at the end of the pass, after all systems have run.
+    /// Cleared at the end of the pass, after all systems have run.
     pub view_changes: Vec<ViewChange>,
 }
 
@@ -98,13 +99,13 @@
         });
     }
 
-    /// Logs a decision.
+    /// Outputs a decision for the log.
     pub fn decide(&mut self, decision: Decision) {
         self.outputs.push(Output::Decision(decision));
     }
 }
 
-/// Runs every system once.
+/// Runs every system once, in a fixed order.
 pub(crate) fn run_pass(tick: &mut Tick<'_>) {
     membership::run(tick);
     peers::run(tick);
--- a/crates/core/src/systems/peers/group.rs
+++ b/crates/core/src/systems/peers/group.rs
@@ -1,15 +1,15 @@
-//! Which VMs share the rates of accounts.
+//! Tracks which VMs share the rates of accounts.
 //!
-//! A VM that is not heard may serve calls out of sight. The heard ones use only their part of
-//! each rate until the silent one has been silent for so long that its keys have gone stale and
-//! it refuses its calls.
+//! An unreachable VM may still be serving calls. The reachable VMs therefore use only their part
+//! of each rate until the silence has lasted so long that the other VM's keys are stale and it
+//! refuses calls.
 
 use super::super::{Tick, placement, rates};
 use crate::ids::{UpstreamName, VmName};
 use crate::output::Decision;
 use crate::tables::Peer;
 
-/// Finds VMs that have gone silent and counts the others.
+/// Marks VMs that have become silent, removes those that have stayed silent and counts the others.
 pub(super) fn review(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let silent_us = tick.settings.peer_silent_ms * 1_000;
@@ -35,7 +35,7 @@
     count(tick);
 }
 
-/// Drops what a silent VM was known to run.
+/// Marks a VM as silent and removes its running calls.
 fn silence(tick: &mut Tick<'_>, vm: &VmName) {
     let now_us = tick.now_us;
     let Some(peer) = tick.tables.peering.peers.get_mut(vm) else {
@@ -50,7 +50,7 @@
     replace_running(tick, vm, Vec::new());
 }
 
-/// Replaces the calls that another VM runs on upstreams.
+/// Replaces the number of calls that another VM runs on each upstream.
 pub(super) fn replace_running(tick: &mut Tick<'_>, vm: &VmName, running: Vec<(UpstreamName, u32)>) {
     let tables = &mut *tick.tables;
     let Some(peer) = tables.peering.peers.get_mut(vm) else {
@@ -75,13 +75,13 @@
     }
 }
 
-/// Counts the VMs that are heard and known, and finds this VM's position among them.
+/// Counts the reachable and the known VMs, and determines this VM's rank.
 pub(super) fn count(tick: &mut Tick<'_>) {
     let me = &tick.settings.vm;
     let peering = &mut tick.tables.peering;
     let before = peering.part();
     let peers = || peering.peers.iter();
-    // A VM that has said that it leaves, and is silent since, has ended.
+    // A VM that announced its departure and then became silent has ended.
     let known = peers().filter(|(_, peer)| peer.is_heard || !peer.is_leaving);
     let known_vms = 1 + known.count() as u64;
     let heard_vms = 1 + peers().filter(|(_, peer)| peer.is_heard).count() as u64;
--- a/crates/core/src/systems/peers/mod.rs
+++ b/crates/core/src/systems/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Summaries between VMs that decide for their own calls.
+//! Exchange of state summaries between VMs that each place their own calls.
 //!
-//! [`sending`] writes summaries, [`receiving`] learns from those of others, and [`group`] keeps
-//! which VMs share the rates of accounts. The system runs under `Coordination::Peers` only.
+//! [`sending`] builds and sends summaries, [`receiving`] applies those of other VMs, and [`group`]
+//! tracks which VMs share the rates of accounts. The system runs under `Coordination::Peers` only.
 
 mod group;
 mod receiving;
@@ -17,24 +17,28 @@
 use crate::output::Output;
 use crate::tables::Timer;
 
-/// VMs from which a fleet sends summaries less often, since their number grows with its square.
+/// Fleet size above which summaries are sent less often.
+///
+/// The number of summaries grows with the square of the fleet size.
 const LARGE_FLEET_VMS: u64 = 24;
 
-/// Interval of summaries in a large fleet, in percent of the ordinary one.
+/// Interval between summaries in a large fleet, in percent of the normal one.
 ///
-/// Two of them still arrive before a VM counts as silent.
+/// Two summaries still arrive before a VM counts as silent.
 const LARGE_FLEET_PERCENT: u64 = 150;
 
-/// Pause before a snapshot is asked for again.
+/// Time after which an unanswered snapshot request is repeated.
 const ASK_AGAIN_US: u64 = 400_000;
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub news: Vec<PeerNews>,
+    /// Whether the next round of summaries is due.
     pub due: bool,
+    /// Whether this VM was asked to stop.
     pub drain: bool,
-    /// Whether the others should hear of a change before the next round is due.
+    /// Whether a change has to be sent to the other VMs before the next round is due.
     pub announce: bool,
 }
 
@@ -70,7 +74,7 @@
     }
 }
 
-/// Asks another VM for the parts of its state that this one lacks.
+/// Requests a snapshot from another VM, unless one was requested recently.
 fn ask_snapshot(tick: &mut Tick<'_>, address: Arc<str>, with_programs: bool) {
     let now_us = tick.now_us;
     let asked = &mut tick.tables.peering.asked_snapshot_us;
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -1,4 +1,4 @@
-//! Learns from the summaries of other VMs.
+//! Applies summaries and snapshots of other VMs.
 
 use super::super::{Tick, budgets, config, outcomes, rates};
 use super::{ask_snapshot, group};
@@ -8,7 +8,7 @@
 use crate::output::Decision;
 use crate::tables::{Knowledge, NCALLS_PER_CALL, Peer};
 
-/// Handles what another VM said.
+/// Dispatches input from another VM.
 pub(super) fn handle(tick: &mut Tick<'_>, news: PeerNews) {
     match news {
         PeerNews::Summary(summary) => learn(tick, *summary),
@@ -17,7 +17,7 @@
     }
 }
 
-/// Adds VMs that have registered in the store.
+/// Adds the VMs that are registered in the store.
 pub(crate) fn learn_vms(tick: &mut Tick<'_>, vms: Vec<RegisteredVm>) {
     for row in vms {
         learn_vm(tick, &row.vm, &row.address);
@@ -37,7 +37,7 @@
         .get_or_insert_with(vm, || Peer::new(address, now_us));
 }
 
-/// Learns from a summary.
+/// Applies a summary, unless it is a duplicate or out of date.
 fn learn(tick: &mut Tick<'_>, summary: Summary) {
     if summary.from == tick.settings.vm || !accept(tick, &summary) {
         return;
@@ -64,7 +64,7 @@
     fetch(tick, &vm, (summary.knows_programs, summary.knows_keepers));
 }
 
-/// Brings the row of the sender up to date; returns whether the summary is new.
+/// Updates the row of the sender; returns whether the summary is new.
 fn accept(tick: &mut Tick<'_>, summary: &Summary) -> bool {
     let now_us = tick.now_us;
     let me = tick.settings.incarnation;
@@ -106,11 +106,11 @@
     true
 }
 
-/// Takes over the age of the sender's reads.
+/// Records when the sender's data was read from the store.
 ///
-/// The sender wrote the summary after it had received the echoed one. The time at which that
-/// one was sent is therefore a lower bound for when the ages were true, however long the
-/// summary was under way.
+/// The sender wrote the summary after it had received the echoed one. The time at which this VM
+/// sent that one is therefore a lower bound for when the ages were measured, however long the
+/// summary was in transit.
 fn note_reads(tick: &mut Tick<'_>, summary: &Summary) {
     let echo = summary
         .echo
@@ -125,7 +125,7 @@
     {
         tables.source.config.note(read_us);
     }
-    // The store's revision grows all the time, but lists with the same upstreams are the same.
+    // The store's revision grows constantly, so lists are compared by digest.
     let stamp = &mut tables.source.stamp;
     if summary.list.digest == stamp.digest
         && let Some(read_us) = read_us(summary.list_age_us)
@@ -135,7 +135,7 @@
     }
 }
 
-/// Takes calls that the sender has admitted from this VM's copies of the buckets.
+/// Debits calls that the sender has admitted from this VM's copies of the buckets.
 fn note_admitted(tick: &mut Tick<'_>, summary: &Summary) {
     for (account, total) in &summary.admitted {
         let peers = &mut tick.tables.peering.peers;
@@ -154,7 +154,7 @@
     }
 }
 
-/// Asks the sender for what it has and this VM lacks.
+/// Requests a snapshot if the sender has state that this VM lacks.
 fn fetch(tick: &mut Tick<'_>, vm: &VmName, (knows_programs, knows_keepers): (bool, bool)) {
     let tables = &*tick.tables;
     let Some(peer) = tables.peering.peers.get(vm) else {
@@ -172,10 +172,10 @@
     }
 }
 
-/// Adopts what is newer in the state of another VM.
+/// Applies the parts of a snapshot that are newer than this VM's state.
 fn adopt(tick: &mut Tick<'_>, asked_us: u64, snapshot: Snapshot) {
     tick.tables.peering.asked_snapshot_us = None;
-    // The sender answered after it was asked, so its ages were true at that time or later.
+    // The sender answered after `asked_us`, so its ages were measured at that time or later.
     let read_us = |age_us: Option<u64>| age_us.and_then(|age_us| asked_us.checked_sub(age_us));
     if let Some(fleet) = snapshot.fleet {
         let revision = fleet.revision;
@@ -188,7 +188,8 @@
     }
     let source = &mut tick.tables.source;
     if source.keepers.is_empty() {
-        // The store may be away for as long as this VM runs, and records have to go somewhere.
+        // The store may be unreachable for as long as this VM runs, but charge records need a
+        // destination.
         source.keepers = snapshot.keepers;
     }
     let list_us = read_us(snapshot.list_age_us);
--- a/crates/core/src/systems/peers/sending.rs
+++ b/crates/core/src/systems/peers/sending.rs
@@ -1,4 +1,4 @@
-//! Writes summaries and snapshots.
+//! Builds and sends summaries, and builds snapshots.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 use crate::output::Output;
 use crate::tables::{Knowledge, Peer, Tables};
 
-/// Rows of one kind in one summary, so that it fits into a datagram.
+/// Maximum rows of one kind in a summary, so that it fits into a datagram.
 const MAX_ROWS: usize = 48;
 
-/// Rounds after which a row that is not confirmed is sent again.
+/// Rounds after which an unacknowledged row is resent.
 const RESEND_ROUNDS: u64 = 3;
 
-/// Rounds between two summaries to a VM that is not heard.
+/// Rounds between two summaries to an unreachable VM.
 const SILENT_ROUNDS: u64 = 5;
 
 /// Sends a round of summaries.
@@ -48,7 +48,7 @@
     }
 }
 
-/// Writes what a summary says to everyone.
+/// Builds the part of a summary that is the same for all receivers.
 fn common(settings: &CoreSettings, tables: &Tables, now_us: u64) -> Summary {
     let running = tables.upstreams.iter();
     let running = running.filter(|(_, row)| row.own_calls > 0);
@@ -83,7 +83,7 @@
     }
 }
 
-/// Adds what one VM has not confirmed yet.
+/// Adds the rows that one VM has not acknowledged yet.
 fn for_peer(
     settings: &CoreSettings,
     tables: &Tables,
@@ -125,15 +125,15 @@
 
 /// Returns whether a row has to be sent to a VM in a round.
 ///
-/// It is sent when it has changed, and again when a confirmation is late. A VM that has
-/// confirmed nothing yet gets all rows.
+/// A row is sent when it has changed, and resent when its acknowledgement is late. A VM that has
+/// acknowledged nothing yet gets all rows.
 fn is_due(changed_round: u64, peer: &Peer, round: u64) -> bool {
     let is_open = changed_round > peer.acked_round && changed_round <= round;
     let is_late = round - changed_round.min(round) >= RESEND_ROUNDS;
     is_open && (changed_round == round || is_late || peer.acked_round == 0)
 }
 
-/// Moves changes of programs that do not fit into this round to the next one.
+/// Defers program changes that do not fit into this round to the next one.
 fn postpone(tables: &mut Tables, round: u64) {
     let due = |changed_round: u64| changed_round == round;
     let rows = tables.budgets.iter_mut();
@@ -143,7 +143,7 @@
     }
 }
 
-/// Writes the state of this VM for another one.
+/// Builds a snapshot of this VM's state for another one.
 pub(crate) fn snapshot(tables: &Tables, now_us: u64, with_programs: bool) -> Snapshot {
     let has_fleet = tables.fleet.revision.0 > 0;
     let programs = tables.budgets.iter().filter(|_| with_programs);
--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -1,8 +1,8 @@
-//! Decides when this VM reads from the platform's store.
+//! Schedules the reads of this VM from the platform's store.
 //!
-//! Reads that one VM has made serve all: each VM reads for itself only when what it knows is
-//! older than a limit that grows with its position among the VMs that are heard. So one VM reads
-//! in the ordinary case, and the next one takes over when it cannot.
+//! VMs share what they have read. Each VM reads for itself only when its data is older than a
+//! limit that grows with its rank among the reachable VMs. Normally only the first VM reads, and
+//! the next one takes over when the first cannot.
 
 use std::sync::Arc;
 
@@ -11,46 +11,47 @@
 use crate::output::{Decision, Output, SourceRequest};
 use crate::tables::{Knowledge, Reading, Timer};
 
-/// Age at which the first VM reads again.
+/// Age of the data at which the first VM reads again.
 const FIRST_READ_US: u64 = 450_000;
 
-/// Age at which the second VM reads.
+/// Age of the data at which the second VM reads.
 const SECOND_READ_US: u64 = 900_000;
 
-/// Added for each further position, so that VMs do not read all at once.
+/// Added to the age for each further rank, so that VMs do not all read at once.
 const READ_STEP_US: u64 = 80_000;
 
-/// Positions that differ in their age; the VMs after them read at the same age.
+/// Number of ranks after the second whose age increases; all later ones read at the same age.
 const READ_STEPS: u64 = 4;
 
-/// Pause after the first failure; it doubles with each further one.
+/// Backoff after the first failure; it doubles with each further one.
 const RETRY_US: u64 = 100_000;
 
-/// Longest pause after a failure.
+/// Maximum backoff after a failure.
 const MAX_RETRY_US: u64 = 400_000;
 
-/// Pause between two readings of the registered VMs.
+/// Age at which the registered VMs are read again.
 const VMS_US: u64 = 60_000_000;
 
-/// The same while this VM has just started and knows no VM with a disk.
+/// The same during startup while this VM knows no VM with a disk.
 const FIRST_VMS_US: u64 = 3_000_000;
 
-/// Time for which a VM counts as just started.
+/// Duration of the startup phase.
 const YOUNG_US: u64 = 10_000_000;
 
-/// A pause between two reads of the list after which the store counts as having been away.
+/// Time between two reads of the list that counts as a store outage.
 const AWAY_US: u64 = 1_600_000;
 
-/// Time that other VMs have to say what they know of programs.
+/// Time that other VMs get to report programs before the store is asked for losses.
 const LOSSES_US: u64 = 450_000;
 
-/// Time after which a request without an answer counts as lost.
+/// Timeout of a request.
 const GIVE_UP_US: u64 = 2_000_000;
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub events: Vec<SourceEvent>,
+    /// Whether the timer of this system is due.
     pub due: bool,
 }
 
@@ -115,7 +116,7 @@
     }
 }
 
-/// Returns the reading that a part is about.
+/// Returns the read state of a part; budgets have none.
 fn reading_of<'a>(tick: &'a mut Tick<'_>, part: &SourcePart) -> Option<&'a mut Reading> {
     let source = &mut tick.tables.source;
     match part {
@@ -127,7 +128,7 @@
     }
 }
 
-/// Takes note of an answer.
+/// Records an answer and resets the backoff.
 fn answered(tick: &mut Tick<'_>, part: &SourcePart) {
     if let Some(reading) = reading_of(tick, part) {
         reading.asked_us = None;
@@ -139,7 +140,7 @@
     }
 }
 
-/// Takes note of a request without an answer.
+/// Records a failed request and backs off.
 fn failed(tick: &mut Tick<'_>, part: &SourcePart) {
     let now_us = tick.now_us;
     if let Some(reading) = reading_of(tick, part) {
@@ -156,7 +157,7 @@
     }
 }
 
-/// Notes when the store is back after a pause in which entries may have lapsed.
+/// Records the end of a store outage in which list entries may have expired.
 fn note_return(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let source = &mut tick.tables.source;
@@ -169,7 +170,7 @@
     }
 }
 
-/// Reads what is old, and plans the next look.
+/// Sends the read requests that are due and schedules the next check.
 fn read(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let age_us = read_age_us(tick.tables.peering.rank);
@@ -205,7 +206,7 @@
 
 /// Returns the age at which the registered VMs are read again.
 ///
-/// VMs with a disk may register a little later than this one.
+/// It is shorter during startup, since VMs with a disk may register a little later than this one.
 fn vms_age_us(tick: &Tick<'_>) -> u64 {
     let source = &tick.tables.source;
     let is_young = tick.now_us < source.started_us + YOUNG_US;
@@ -218,7 +219,7 @@
 
 /// Returns whether the store has to be asked for losses of memory.
 ///
-/// That is the case when other VMs have had time to say what they know, and none has.
+/// That is the case when the other VMs had time to report the programs and none did.
 fn asks_losses(tick: &Tick<'_>) -> bool {
     let source = &tick.tables.source;
     let is_pending = source.knowledge == Knowledge::Pending;
@@ -227,7 +228,7 @@
     is_pending && is_heard && has_waited && tick.tables.peering.asked_snapshot_us.is_none()
 }
 
-/// Returns the age at which a VM at a position reads again.
+/// Returns the age of the data at which a VM of this rank reads again.
 fn read_age_us(rank: u64) -> u64 {
     match rank {
         0 => FIRST_READ_US,
@@ -235,7 +236,7 @@
     }
 }
 
-/// Returns when something has to be read.
+/// Returns when a part has to be read, after any backoff or pending request.
 fn due_us(reading: &Reading, age_us: u64) -> u64 {
     let old_us = reading.read_us.map_or(0, |read_us| read_us + age_us);
     let answer_us = reading.asked_us.map_or(0, |asked_us| asked_us + GIVE_UP_US);
--- a/crates/core/src/systems/timers/mod.rs
+++ b/crates/core/src/systems/timers/mod.rs
@@ -1,9 +1,9 @@
-//! Hands due timers to their systems.
+//! Dispatches due timers to their systems.
 
 use super::Tick;
 use crate::tables::Timer;
 
-/// Hands all timers that are due to their systems.
+/// Dispatches all timers that are due.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     while let Some(timer) = tick.tables.timers.pop_due(tick.now_us) {
         let work = &mut *tick.work;
