--- a/crates/core/src/systems/placement/listing.rs
+++ b/crates/core/src/systems/placement/availability.rs
@@ -1,7 +1,7 @@
 //! Keeps the open sets of pools up to date and assigns waiting calls to free upstreams.
 
 use super::super::Tick;
-use super::{order, owner};
+use super::{owner, queue_order};
 use crate::ids::{ContentDigest, PoolKey, UpstreamName};
 use crate::tables::Waiting;
 
@@ -55,8 +55,8 @@
 
 /// Adds a call to the ordered queue of its pool.
 pub(super) fn push(tick: &mut Tick<'_>, waiting: Waiting) {
-    let lane = order::lane_of(tick, &waiting.place.account);
-    let rank = order::rank(tick, &waiting.place, waiting.arrived_us);
+    let lane = queue_order::lane_of(tick, &waiting.place.account);
+    let rank = queue_order::rank(tick, &waiting.place, waiting.arrived_us);
     let pool = waiting.place.pool.clone();
     if let Some(pool) = tick.tables.pools.get_mut(&pool) {
         pool.queue.push(lane, rank, waiting);
--- a/crates/core/src/systems/placement/alone.rs
+++ b/crates/core/src/systems/placement/isolation.rs
@@ -6,8 +6,8 @@
 use smallvec::SmallVec;
 
 use super::super::Tick;
-use super::choice::Chosen;
-use super::{listing, owner};
+use super::selection::Chosen;
+use super::{availability, owner};
 use crate::ids::{PoolKey, UpstreamName};
 use crate::output::{PlacementReason, RefusalKind};
 use crate::tables::Waiting;
@@ -37,7 +37,7 @@
     if !suspect.runs_alone() {
         // The content completed elsewhere and is no longer suspect.
         let waiting = tick.tables.pools.get_mut(pool)?.alone.pop_front()?;
-        listing::push(tick, waiting);
+        availability::push(tick, waiting);
         return next(tick, pool);
     }
     if suspect.running > 0 || suspect.examined > 0 {
@@ -83,7 +83,7 @@
     if let Some(upstream) = tick.tables.upstreams.get_mut(&name) {
         upstream.is_alone = true;
     }
-    listing::list(tick, &name);
+    availability::list(tick, &name);
 }
 
 /// Counts the reserved upstreams with running attempts.
@@ -146,6 +146,6 @@
         if let Some(upstream) = tick.tables.upstreams.get_mut(&name) {
             upstream.is_alone = false;
         }
-        listing::list(tick, &name);
+        availability::list(tick, &name);
     }
 }
--- a/crates/core/src/systems/placement/limits.rs
+++ b/crates/core/src/systems/placement/limits.rs
@@ -1,7 +1,7 @@
 //! Load, speed and concurrency limits of upstreams, as measured by the pool owner.
 
 use super::super::Tick;
-use super::listing;
+use super::availability;
 use crate::ids::UpstreamName;
 use crate::message::Finish;
 use crate::output::Decision;
@@ -30,7 +30,7 @@
     let from_calls = row.limit.calls;
     let reason = row.limit.report(now_us, running_calls, tokens_per_s);
     log_change(tick, upstream, from_calls, reason);
-    listing::wake(tick, upstream);
+    availability::wake(tick, upstream);
 }
 
 /// Updates an upstream's speed and limit from a complete attempt.
--- a/crates/core/src/systems/placement/mod.rs
+++ b/crates/core/src/systems/placement/mod.rs
@@ -3,19 +3,19 @@
 //! The entry VM of a call requests an upstream from the owner of the call's
 //! pool, which queues the call and selects the upstream.
 
-mod alone;
-mod choice;
+mod availability;
 mod entry;
-mod handover;
 mod hints;
+mod isolation;
 mod limits;
-mod listing;
-mod order;
 mod owner;
+mod queue_order;
+mod reconfigure;
+mod selection;
 
+pub(crate) use availability::{list, release_held, wake};
 pub(crate) use entry::{end_attempt, resend_finish};
 pub(crate) use hints::note_cached;
-pub(crate) use listing::{list, release_held, wake};
 
 use super::{Sender, Tick};
 use crate::ids::{CallId, UpstreamName};
@@ -48,10 +48,10 @@
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.placement);
     if work.config_changed {
-        handover::adopt_config(tick);
+        reconfigure::adopt_config(tick);
     }
     if tick.tables.placed_epoch != tick.tables.view.epoch {
-        handover::adopt_view(tick);
+        reconfigure::adopt_view(tick);
     }
     for (upstream, running_calls, tokens_per_s) in work.loads {
         limits::report(tick, &upstream, running_calls, tokens_per_s);
@@ -108,7 +108,7 @@
             tick.tables.finishing.remove(&attempt);
         }
         PlacementMessage::InFlight { pool, attempts } => {
-            handover::adopt_attempts(tick, sender, &pool, attempts);
+            reconfigure::adopt_attempts(tick, sender, &pool, attempts);
         }
         PlacementMessage::Suspected { call, crashes } => {
             if let Some(row) = tick.tables.calls.get_mut(&call) {
--- a/crates/core/src/systems/placement/owner.rs
+++ b/crates/core/src/systems/placement/owner.rs
@@ -3,8 +3,8 @@
 use smallvec::SmallVec;
 
 use super::super::{Sender, Tick, outcomes};
-use super::choice::{self, Choice, Chosen};
-use super::{alone, hints, limits, listing, order};
+use super::selection::{self, Choice, Chosen};
+use super::{availability, hints, isolation, limits, queue_order};
 use crate::config::UpstreamChoice;
 use crate::ids::{AttemptId, PoolKey};
 use crate::message::{AttemptResult, Finish, Place, PlacementMessage};
@@ -40,7 +40,7 @@
             place,
             arrived_us: tick.now_us,
         };
-        listing::push(tick, waiting);
+        availability::push(tick, waiting);
         assign(tick, &pool);
         age(tick, &pool, attempt);
     }
@@ -54,7 +54,7 @@
 fn age(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     let row = tick.tables.pools.get(pool);
     if row.is_some_and(|row| row.queue.get(&attempt).is_some()) {
-        let due_us = order::aged_us(tick, tick.now_us);
+        let due_us = queue_order::aged_us(tick, tick.now_us);
         tick.tables
             .timers
             .set(due_us, Timer::QueueAge(pool.clone(), attempt));
@@ -65,7 +65,7 @@
 pub(super) fn advance(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     let row = tick.tables.pools.get_mut(pool);
     if let Some(waiting) = row.and_then(|row| row.queue.remove(attempt)) {
-        listing::push(tick, waiting);
+        availability::push(tick, waiting);
     }
 }
 
@@ -101,8 +101,8 @@
 
 /// Assigns waiting calls of a pool while upstreams have room.
 pub(super) fn assign(tick: &mut Tick<'_>, pool: &PoolKey) {
-    alone::assign(tick, pool);
-    alone::unreserve(tick, pool);
+    isolation::assign(tick, pool);
+    isolation::unreserve(tick, pool);
     while assign_next(tick, pool) {}
 }
 
@@ -114,7 +114,7 @@
     if row.open.is_empty() || row.queue.is_empty() {
         return false;
     }
-    for attempt in row.queue.candidates(order::lane_order(tick)) {
+    for attempt in row.queue.candidates(queue_order::lane_order(tick)) {
         if gate(tick, pool, attempt) {
             return true;
         }
@@ -122,7 +122,7 @@
         let Some(waiting) = row.and_then(|row| row.queue.get(&attempt)) else {
             continue;
         };
-        let choice = choice::choose(tick, pool, waiting);
+        let choice = selection::choose(tick, pool, waiting);
         if matches!(choice, Choice::Wait) {
             continue;
         }
@@ -167,7 +167,7 @@
         row.held.entry(digest).or_default().push_back(waiting);
     } else {
         row.alone.push_back(waiting);
-        alone::assign(tick, pool);
+        isolation::assign(tick, pool);
     }
     true
 }
@@ -228,7 +228,7 @@
             .position(|name| *name == chosen.upstream);
         row.next = position.map_or(0, |position| position + 1);
     }
-    listing::list(tick, &chosen.upstream);
+    availability::list(tick, &chosen.upstream);
     let placed = PlacementMessage::Placed {
         pool: place.pool,
         attempt,
@@ -241,7 +241,7 @@
 
 /// Books the expected service of a call for its account and returns it.
 fn book(tick: &mut Tick<'_>, place: &Place, cached_tokens: u64) -> u64 {
-    let lane = order::lane_of(tick, &place.account);
+    let lane = queue_order::lane_of(tick, &place.account);
     let Some(row) = tick.tables.pools.get(&place.pool) else {
         return 0;
     };
@@ -250,8 +250,8 @@
         tokens => tokens,
     };
     let answer_tokens = answer_tokens.min(place.max_tokens);
-    let service = order::service(place.prompt_tokens, cached_tokens, answer_tokens);
-    let booked = order::weighted(tick, &place.account, service);
+    let service = queue_order::service(place.prompt_tokens, cached_tokens, answer_tokens);
+    let booked = queue_order::weighted(tick, &place.account, service);
     if let Some(row) = tick.tables.pools.get_mut(&place.pool) {
         row.queue.serve(&lane, booked);
     }
@@ -296,9 +296,9 @@
         && suspect.running == 0
         && suspect.examined == 0
     {
-        listing::release_held(tick, &running.pool, &running.digest);
+        availability::release_held(tick, &running.pool, &running.digest);
     }
-    listing::wake(tick, &running.upstream);
+    availability::wake(tick, &running.upstream);
 }
 
 /// Removes an attempt from its upstream and ends its reservation.
@@ -321,11 +321,11 @@
 
 /// Replaces the service booked for an attempt by the service it received.
 fn settle_service(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
-    let lane = order::lane_of(tick, &running.account);
+    let lane = queue_order::lane_of(tick, &running.account);
     let is_complete = matches!(finish.result, AttemptResult::Complete);
     let prompt_tokens = if is_complete { finish.prompt_tokens } else { 0 };
-    let service = order::service(prompt_tokens, finish.cached_tokens, finish.answer_tokens);
-    let received = order::weighted(tick, &running.account, service);
+    let service = queue_order::service(prompt_tokens, finish.cached_tokens, finish.answer_tokens);
+    let received = queue_order::weighted(tick, &running.account, service);
     let Some(row) = tick.tables.pools.get_mut(&running.pool) else {
         return;
     };
--- a/crates/core/src/systems/placement/handover.rs
+++ b/crates/core/src/systems/placement/reconfigure.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::super::{Sender, Tick, outcomes};
-use super::{entry, listing, owner};
+use super::{availability, entry, owner};
 use crate::ids::{AttemptId, CallId, PoolKey, UpstreamName, VmName};
 use crate::message::{InFlight, PlacementMessage};
 use crate::tables::{Running, Stage};
@@ -30,7 +30,7 @@
     }
     let upstreams: Vec<UpstreamName> = names(tick);
     for name in upstreams {
-        listing::wake(tick, &name);
+        availability::wake(tick, &name);
     }
 }
 
@@ -55,7 +55,7 @@
         entry::resend_finish(tick, attempt);
     }
     for name in names(tick) {
-        listing::wake(tick, &name);
+        availability::wake(tick, &name);
     }
 }
 
@@ -162,7 +162,7 @@
     }
     if let Some(running) = tick.tables.running.remove(&attempt) {
         owner::release(tick, attempt, &running);
-        listing::list(tick, &running.upstream);
+        availability::list(tick, &running.upstream);
     }
     if let Some(suspect) = tick.tables.suspects.get_mut(&in_flight.digest) {
         suspect.running += 1;
@@ -184,7 +184,7 @@
     if let Some(row) = tick.tables.upstreams.get_mut(&running.upstream) {
         row.attempts.insert(attempt);
     }
-    listing::list(tick, &in_flight.upstream);
+    availability::list(tick, &in_flight.upstream);
     tick.tables.running.insert(attempt, running);
     owner::check_running(tick, attempt);
 }
