--- a/crates/core/src/systems/budgets/mod.rs
+++ b/crates/core/src/systems/budgets/mod.rs
@@ -292,7 +292,7 @@
     row.has_record |= used.has_record;
     row.used_us = now_us;
     if let Some((upstream, tokens)) = &used.cached {
-        super::placement::note_cached(tick, &used.program, upstream, *tokens);
+        super::placement::record_cached_prefix(tick, &used.program, upstream, *tokens);
     }
 }
 
--- a/crates/core/src/systems/homes/settles.rs
+++ b/crates/core/src/systems/homes/settles.rs
@@ -141,6 +141,6 @@
 ) {
     let call = tick.tables.calls.get(&id);
     if call.is_some_and(|call| call.stage == Stage::Settling) {
-        outcomes::answer(tick, id, continuation, permit);
+        outcomes::answer_call(tick, id, continuation, permit);
     }
 }
--- a/crates/core/src/systems/intake/mod.rs
+++ b/crates/core/src/systems/intake/mod.rs
@@ -80,14 +80,17 @@
             tokens_per_s,
         } => work
             .placement
-            .loads
+            .load_reports
             .push((upstream, running_calls, tokens_per_s)),
-        Input::Probed { upstream, state } => work.outcomes.probes.push((upstream, state)),
+        Input::Probed { upstream, state } => work.outcomes.probe_results.push((upstream, state)),
         Input::Loaded {
             upstream,
             models,
             running_calls,
-        } => work.orders.loaded.push((upstream, models, running_calls)),
+        } => work
+            .orders
+            .model_reports
+            .push((upstream, models, running_calls)),
         Input::OrderResult {
             upstream,
             token,
--- a/crates/core/src/systems/orders/mod.rs
+++ b/crates/core/src/systems/orders/mod.rs
@@ -15,22 +15,22 @@
 use crate::tables::Timer;
 
 /// Time between two comparisons of desired and reported models.
-const REVIEW_US: u64 = 1_000_000;
+const REVIEW_INTERVAL_US: u64 = 1_000_000;
 
 /// What waits for this system.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
-    pub loaded: Vec<(UpstreamName, Vec<ModelName>, u32)>,
+    pub model_reports: Vec<(UpstreamName, Vec<ModelName>, u32)>,
     pub results: Vec<(UpstreamName, FencingToken, OrderResult)>,
-    pub due: Vec<Timer>,
+    pub due_timers: Vec<Timer>,
     pub config_changed: bool,
 }
 
 impl Work {
     pub fn is_empty(&self) -> bool {
-        self.loaded.is_empty()
+        self.model_reports.is_empty()
             && self.results.is_empty()
-            && self.due.is_empty()
+            && self.due_timers.is_empty()
             && !self.config_changed
     }
 }
@@ -39,15 +39,15 @@
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.orders);
     if work.config_changed || !tick.work.view_changes.is_empty() {
-        planning::own(tick);
+        planning::update_ownership(tick);
     }
-    for (upstream, models, running_calls) in work.loaded {
-        results::note_loaded(tick, &upstream, models, running_calls);
+    for (upstream, models, running_calls) in work.model_reports {
+        results::record_loaded_models(tick, &upstream, models, running_calls);
     }
     for (upstream, token, result) in work.results {
-        results::handle(tick, &upstream, token, result);
+        results::handle_result(tick, &upstream, token, result);
     }
-    for timer in work.due {
+    for timer in work.due_timers {
         if let Timer::OrdersReview(service) = timer {
             review(tick, &service);
         }
@@ -59,8 +59,8 @@
     if !tick.tables.orders.contains_key(service) {
         return;
     }
-    planning::plan(tick, service);
-    let due_us = tick.now_us + REVIEW_US;
+    planning::plan_service(tick, service);
+    let due_us = tick.now_us + REVIEW_INTERVAL_US;
     let timer = Timer::OrdersReview(service.clone());
     tick.tables.timers.set(due_us, timer);
 }
--- a/crates/core/src/systems/orders/planning.rs
+++ b/crates/core/src/systems/orders/planning.rs
@@ -9,10 +9,10 @@
 /// Idle reports after which a model may be unloaded.
 ///
 /// Reports lag, so that a call that was just placed may be missing from one.
-const IDLE_REPORTS: u32 = 3;
+const MIN_IDLE_REPORTS: u32 = 3;
 
 /// Takes over and gives up services after the view or the configuration has changed.
-pub(super) fn own(tick: &mut Tick<'_>) {
+pub(super) fn update_ownership(tick: &mut Tick<'_>) {
     let me = &tick.settings.vm;
     let tables = &mut *tick.tables;
     let mut gained = Vec::new();
@@ -38,7 +38,7 @@
 }
 
 /// Sends orders to the engines of a service whose models differ from the desired ones.
-pub(super) fn plan(tick: &mut Tick<'_>, service: &ServiceName) {
+pub(super) fn plan_service(tick: &mut Tick<'_>, service: &ServiceName) {
     let Some(ready_us) = ready_us(tick, service) else {
         return;
     };
@@ -113,7 +113,7 @@
         sent_us: now_us,
     };
     book.open.insert(upstream.clone(), open);
-    send(tick, upstream, token, action);
+    send_order(tick, upstream, token, action);
 }
 
 /// Returns what an engine has to do next; `None` if it reports the desired models or nothing.
@@ -126,13 +126,18 @@
         return Some(OrderAction::Load(model.clone()));
     }
     // A model is not taken away under calls that may still use it.
-    let is_idle = row.running_calls() == 0 && row.idle_reports >= IDLE_REPORTS;
+    let is_idle = row.running_calls() == 0 && row.idle_reports >= MIN_IDLE_REPORTS;
     let extra = loaded.iter().find(|model| !desired.contains(model));
     extra.filter(|_| is_idle).cloned().map(OrderAction::Unload)
 }
 
 /// Sends an order.
-fn send(tick: &mut Tick<'_>, upstream: &UpstreamName, token: FencingToken, action: OrderAction) {
+fn send_order(
+    tick: &mut Tick<'_>,
+    upstream: &UpstreamName,
+    token: FencingToken,
+    action: OrderAction,
+) {
     let Some(row) = tick.tables.upstreams.get(upstream) else {
         return;
     };
--- a/crates/core/src/systems/orders/results.rs
+++ b/crates/core/src/systems/orders/results.rs
@@ -6,7 +6,7 @@
 use crate::output::Decision;
 
 /// Keeps the models that an engine reports; placement uses only loaded ones.
-pub(super) fn note_loaded(
+pub(super) fn record_loaded_models(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
     models: Vec<ModelName>,
@@ -28,7 +28,7 @@
 }
 
 /// Handles the answer to an order; answers to older orders are dropped.
-pub(super) fn handle(
+pub(super) fn handle_result(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
     token: FencingToken,
--- a/crates/core/src/systems/outcomes/ejection.rs
+++ b/crates/core/src/systems/outcomes/ejection.rs
@@ -7,7 +7,7 @@
 use crate::tables::Timer;
 
 /// Counts a failure of an upstream and ejects it after too many in a row.
-pub(crate) fn upstream_failed(tick: &mut Tick<'_>, upstream: &UpstreamName) {
+pub(crate) fn record_failure(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
     };
@@ -28,32 +28,32 @@
 /// Keeps calls away from an upstream that refused a connection.
 ///
 /// While a broken connection to it is examined, the refusal shows a crash.
-pub(crate) fn upstream_refused(tick: &mut Tick<'_>, upstream: &UpstreamName) {
-    suspects::judge_crash(tick, upstream, CrashEvidence::Refused);
-    rest(tick, upstream);
-    upstream_failed(tick, upstream);
+pub(crate) fn record_connection_refused(tick: &mut Tick<'_>, upstream: &UpstreamName) {
+    suspects::conclude_crash(tick, upstream, CrashEvidence::Refused);
+    back_off(tick, upstream);
+    record_failure(tick, upstream);
 }
 
 /// Keeps calls away from an upstream that was full until some may have ended.
-pub(crate) fn upstream_full(tick: &mut Tick<'_>, upstream: &UpstreamName) {
+pub(crate) fn back_off_full(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
     };
     let until_us = row.health.rest_full(tick.now_us);
     let timer = Timer::UpstreamReady(upstream.clone());
     tick.tables.timers.set(until_us, timer);
-    placement::list(tick, upstream);
+    placement::refresh_availability(tick, upstream);
 }
 
 /// Keeps calls away from an upstream for a moment.
-pub(super) fn rest(tick: &mut Tick<'_>, upstream: &UpstreamName) {
+pub(super) fn back_off(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
     };
     let until_us = row.health.rest(tick.now_us);
     let timer = Timer::UpstreamReady(upstream.clone());
     tick.tables.timers.set(until_us, timer);
-    placement::list(tick, upstream);
+    placement::refresh_availability(tick, upstream);
 }
 
 /// Returns whether at most half of each pool is out after one more ejection.
@@ -82,7 +82,7 @@
     }
     let timer = Timer::UpstreamReady(upstream.clone());
     tick.tables.timers.set(tick.now_us + for_us, timer);
-    placement::list(tick, upstream);
+    placement::refresh_availability(tick, upstream);
     tick.decide(Decision::Ejected {
         upstream: upstream.clone(),
         for_ms: for_us / 1_000,
--- a/crates/core/src/systems/outcomes/mod.rs
+++ b/crates/core/src/systems/outcomes/mod.rs
@@ -6,10 +6,10 @@
 mod retries;
 mod suspects;
 
-pub(crate) use ejection::{upstream_failed, upstream_full, upstream_refused};
-pub(crate) use quarantine::quarantine;
-pub(crate) use results::{answer, charge_last_run};
-pub(crate) use suspects::{carry_crashes, clear_suspect, connection_lost};
+pub(crate) use ejection::{back_off_full, record_connection_refused, record_failure};
+pub(crate) use quarantine::quarantine_content;
+pub(crate) use results::{answer_call, charge_last_run};
+pub(crate) use suspects::{clear_crash_count, raise_crash_count, record_lost_connection};
 
 use super::Tick;
 use crate::ids::UpstreamName;
@@ -20,13 +20,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub events: Vec<AttemptEvent>,
-    pub probes: Vec<(UpstreamName, ProbeState)>,
-    pub due: Vec<Timer>,
+    pub probe_results: Vec<(UpstreamName, ProbeState)>,
+    pub due_timers: Vec<Timer>,
 }
 
 impl Work {
     pub fn is_empty(&self) -> bool {
-        self.events.is_empty() && self.probes.is_empty() && self.due.is_empty()
+        self.events.is_empty() && self.probe_results.is_empty() && self.due_timers.is_empty()
     }
 }
 
@@ -34,14 +34,14 @@
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.outcomes);
     for event in work.events {
-        handle(tick, event);
+        handle_event(tick, event);
     }
-    for (upstream, state) in work.probes {
-        suspects::probed(tick, &upstream, state);
+    for (upstream, state) in work.probe_results {
+        suspects::handle_probe_result(tick, &upstream, state);
     }
-    for timer in work.due {
+    for timer in work.due_timers {
         match timer {
-            Timer::CrashVerdict(upstream) => suspects::expire_probe(tick, &upstream),
+            Timer::CrashVerdict(upstream) => suspects::handle_probe_timeout(tick, &upstream),
             Timer::SuspectIdle(digest) => suspects::expire(tick, digest),
             Timer::QuarantineEnd(digest) => quarantine::expire(tick, digest),
             _ => {}
@@ -50,7 +50,7 @@
 }
 
 /// Handles an event of the running attempt; events of older attempts are dropped.
-fn handle(tick: &mut Tick<'_>, event: AttemptEvent) {
+fn handle_event(tick: &mut Tick<'_>, event: AttemptEvent) {
     let attempt = event.attempt;
     let now_us = tick.now_us;
     let Some(call) = tick.tables.calls.get_mut(&attempt.call) else {
@@ -62,7 +62,7 @@
     match event.progress {
         AttemptProgress::Sent => call.sent = true,
         AttemptProgress::FirstToken => call.place.first_token_us = now_us,
-        AttemptProgress::Finished(outcome) => results::finish(tick, attempt, outcome),
-        AttemptProgress::Failed(failure) => retries::fail(tick, attempt, failure),
+        AttemptProgress::Finished(outcome) => results::complete_call(tick, attempt, outcome),
+        AttemptProgress::Failed(failure) => retries::handle_failure(tick, attempt, failure),
     }
 }
--- a/crates/core/src/systems/outcomes/quarantine.rs
+++ b/crates/core/src/systems/outcomes/quarantine.rs
@@ -7,7 +7,7 @@
 use crate::tables::{Quarantine, Suspect, Timer};
 
 /// Quarantines a content that crashed an upstream alone, on all VMs.
-pub(super) fn declare(tick: &mut Tick<'_>, digest: ContentDigest) {
+pub(super) fn quarantine_on_all_vms(tick: &mut Tick<'_>, digest: ContentDigest) {
     let for_ms = tick.settings.quarantine_ms;
     let crashes = tick
         .tables
@@ -19,7 +19,7 @@
         for_ms,
         crashes,
     });
-    quarantine(tick, digest, for_ms);
+    quarantine_content(tick, digest, for_ms);
     let members = tick.tables.view.members.iter();
     let others: Vec<VmName> = members
         .map(|member| member.vm.clone())
@@ -31,7 +31,7 @@
 }
 
 /// Refuses a content on this VM for a time.
-pub(crate) fn quarantine(tick: &mut Tick<'_>, digest: ContentDigest, for_ms: u64) {
+pub(crate) fn quarantine_content(tick: &mut Tick<'_>, digest: ContentDigest, for_ms: u64) {
     let until_us = tick.now_us + for_ms * 1_000;
     let row = tick
         .tables
--- a/crates/core/src/systems/outcomes/results.rs
+++ b/crates/core/src/systems/outcomes/results.rs
@@ -8,8 +8,8 @@
 use crate::tables::{Call, LastRun, Stage};
 
 /// Ends a call whose response is complete.
-pub(super) fn finish(tick: &mut Tick<'_>, attempt: AttemptId, outcome: AttemptOutcome) {
-    free_upstream(tick, attempt, AttemptResult::Complete, &outcome);
+pub(super) fn complete_call(tick: &mut Tick<'_>, attempt: AttemptId, outcome: AttemptOutcome) {
+    release_upstream(tick, attempt, AttemptResult::Complete, &outcome);
     let Some(call) = tick.tables.calls.get_mut(&attempt.call) else {
         return;
     };
@@ -19,10 +19,10 @@
     }
     let tokens = (outcome.prompt_tokens, outcome.answer_tokens);
     let run = call.run_ended(outcome.answer_tokens, ChargeOutcome::Complete);
-    let charge = run.map(|run| charge_for(call, run, outcome.prompt_tokens));
+    let charge = run.map(|run| build_charge(call, run, outcome.prompt_tokens));
     tick.work.charges.charges.extend(charge);
     if call.program.is_none() {
-        answer(tick, attempt.call, None, None);
+        answer_call(tick, attempt.call, None, None);
         return;
     }
     let call = call.clone();
@@ -37,7 +37,7 @@
 }
 
 /// Gives the final answer to a call that ran.
-pub(crate) fn answer(
+pub(crate) fn answer_call(
     tick: &mut Tick<'_>,
     id: CallId,
     continuation: Option<Continuation>,
@@ -54,7 +54,7 @@
 }
 
 /// Tells the owner of the pool that an attempt has ended.
-pub(super) fn free_upstream(
+pub(super) fn release_upstream(
     tick: &mut Tick<'_>,
     attempt: AttemptId,
     result: AttemptResult,
@@ -87,7 +87,7 @@
 /// Charges a call that ends without a complete response and may have run.
 pub(crate) fn charge_last_run(tick: &mut Tick<'_>, call: &Call) {
     if let Some(run) = &call.last_run {
-        let charge = charge_for(call, (**run).clone(), call.new.prompt_tokens);
+        let charge = build_charge(call, (**run).clone(), call.new.prompt_tokens);
         tick.work.charges.charges.push(charge);
     }
 }
@@ -95,7 +95,7 @@
 /// Makes the charge record of a call from its last attempt.
 ///
 /// A stream that was resumed counts with the tokens of all its attempts.
-fn charge_for(call: &Call, run: LastRun, prompt_tokens: u64) -> Charge {
+fn build_charge(call: &Call, run: LastRun, prompt_tokens: u64) -> Charge {
     let turn = call.new.program.as_ref().map_or(0, |program| program.turn);
     let passed_tokens = call.relay.as_ref().map_or(0, |relay| relay.passed_tokens);
     Charge {
--- a/crates/core/src/systems/outcomes/retries.rs
+++ b/crates/core/src/systems/outcomes/retries.rs
@@ -21,16 +21,16 @@
 ///
 /// A crashing request takes others down with it at most three times, and a
 /// budget must not punish them for it.
-const FREE_LOSSES: u32 = 3;
+const MAX_UNBUDGETED_LOSSES: u32 = 3;
 
 /// Retries or ends a call whose attempt failed.
-pub(super) fn fail(tick: &mut Tick<'_>, attempt: AttemptId, failure: Failure) {
+pub(super) fn handle_failure(tick: &mut Tick<'_>, attempt: AttemptId, failure: Failure) {
     let outcome = AttemptOutcome {
         answer_tokens: failure.answer_tokens(),
         ..AttemptOutcome::default()
     };
-    let result = result_of(tick, attempt, &failure);
-    results::free_upstream(tick, attempt, result, &outcome);
+    let result = attempt_result(tick, attempt, &failure);
+    results::release_upstream(tick, attempt, result, &outcome);
     let Some(call) = tick.tables.calls.get_mut(&attempt.call) else {
         return;
     };
@@ -49,15 +49,15 @@
     let Some(upstream) = call.upstream.clone() else {
         return;
     };
-    let verdict = judge(call, &failure, tick.now_us);
+    let verdict = check_retry(call, &failure, tick.now_us);
     if !failure.is_not_run() {
         let run = call.run_ended(failure.answer_tokens(), charge_outcome(&failure));
         call.last_run = run.map(Box::new);
-        confine(call, &upstream);
+        pin_to_upstream(call, &upstream);
     }
     let needs_budget = needs_budget(call, &failure);
     let verdict = verdict.and_then(|reason| {
-        if needs_budget && !take_budget(tick, attempt) {
+        if needs_budget && !take_retry_budget(tick, attempt) {
             return Err(RetryReason::OverBudget);
         }
         Ok(reason)
@@ -82,13 +82,13 @@
                 upstream,
                 reason,
             });
-            end(tick, attempt, failure);
+            end_call(tick, attempt, failure);
         }
     }
 }
 
 /// Returns how an attempt ended as far as its upstream is concerned.
-fn result_of(tick: &Tick<'_>, attempt: AttemptId, failure: &Failure) -> AttemptResult {
+fn attempt_result(tick: &Tick<'_>, attempt: AttemptId, failure: &Failure) -> AttemptResult {
     let call = tick.tables.calls.get(&attempt.call);
     let is_late = call.is_some_and(|call| tick.now_us >= call.valid_until_us);
     match failure {
@@ -111,7 +111,7 @@
 }
 
 /// Decides whether a call may be tried again, apart from the budget.
-fn judge(call: &Call, failure: &Failure, now_us: u64) -> Result<RetryReason, RetryReason> {
+fn check_retry(call: &Call, failure: &Failure, now_us: u64) -> Result<RetryReason, RetryReason> {
     let is_gone = matches!(failure, Failure::CallerGone { .. });
     let is_resumable = call.relay.is_some() && call.idempotent && !is_gone;
     if failure.is_forwarded() && !is_resumable {
@@ -137,7 +137,7 @@
 }
 
 /// Confines a call that may have run on as many upstreams as its route allows to the last one.
-fn confine(call: &mut Call, upstream: &UpstreamName) {
+fn pin_to_upstream(call: &mut Call, upstream: &UpstreamName) {
     let Some(relay) = &mut call.relay else {
         return;
     };
@@ -151,7 +151,7 @@
 /// Returns whether a retry takes from the retry budget.
 fn needs_budget(call: &Call, failure: &Failure) -> bool {
     match failure {
-        Failure::ConnectionLost { .. } => call.place.losses > FREE_LOSSES,
+        Failure::ConnectionLost { .. } => call.place.losses > MAX_UNBUDGETED_LOSSES,
         // The upstream rests after a refused connection, which bounds these.
         Failure::NotSent => false,
         // The rest of a full upstream bounds these.
@@ -162,7 +162,7 @@
 
 /// Returns whether a status may come from something between this VM and the upstream, or from an
 /// upstream that did not run the request.
-fn is_of_gateway(status: u16) -> bool {
+fn is_ambiguous_status(status: u16) -> bool {
     matches!(status, 408 | 429 | 502 | 503 | 504)
 }
 
@@ -172,14 +172,14 @@
         // Without any answer, the request may not have reached its upstream.
         Failure::CallerGone { answer_tokens: 0 } => ChargeOutcome::Unknown,
         Failure::CallerGone { .. } => ChargeOutcome::Abandoned,
-        Failure::UpstreamError { status } if !is_of_gateway(*status) => ChargeOutcome::Failed,
+        Failure::UpstreamError { status } if !is_ambiguous_status(*status) => ChargeOutcome::Failed,
         failure if failure.is_forwarded() => ChargeOutcome::Interrupted,
         _ => ChargeOutcome::Unknown,
     }
 }
 
 /// Takes one retry from the budget of the call's pool.
-fn take_budget(tick: &mut Tick<'_>, attempt: AttemptId) -> bool {
+fn take_retry_budget(tick: &mut Tick<'_>, attempt: AttemptId) -> bool {
     let (now_us, percent) = (tick.now_us, tick.settings.retry_percent);
     let call = tick.tables.calls.get(&attempt.call);
     call.map(|call| call.pool.clone())
@@ -188,7 +188,7 @@
 }
 
 /// Ends a call that is not tried again.
-fn end(tick: &mut Tick<'_>, attempt: AttemptId, failure: Failure) {
+fn end_call(tick: &mut Tick<'_>, attempt: AttemptId, failure: Failure) {
     let Some(call) = tick.tables.calls.get(&attempt.call) else {
         return;
     };
--- a/crates/core/src/systems/outcomes/suspects.rs
+++ b/crates/core/src/systems/outcomes/suspects.rs
@@ -17,10 +17,10 @@
 use crate::tables::{LostAttempt, Running, Suspect, Timer};
 
 /// Time for a probe to be answered.
-const PROBE_US: u64 = 1_000_000;
+const PROBE_TIMEOUT_US: u64 = 1_000_000;
 
 /// Examines a broken connection.
-pub(crate) fn connection_lost(tick: &mut Tick<'_>, attempt: AttemptId, running: &Running) {
+pub(crate) fn record_lost_connection(tick: &mut Tick<'_>, attempt: AttemptId, running: &Running) {
     if running.is_counted {
         return;
     }
@@ -35,41 +35,41 @@
         digest: running.digest,
         alone: running.alone,
     });
-    see(tick, running.digest).examined += 1;
+    touch_suspect(tick, running.digest).examined += 1;
     if is_first {
         let probe = Output::Probe(running.upstream.clone());
         tick.outputs.push(probe);
         let timer = Timer::CrashVerdict(running.upstream.clone());
-        tick.tables.timers.set(now_us + PROBE_US, timer);
+        tick.tables.timers.set(now_us + PROBE_TIMEOUT_US, timer);
     }
-    placement::list(tick, &running.upstream);
+    placement::refresh_availability(tick, &running.upstream);
 }
 
 /// Judges a broken connection by the result of a probe.
-pub(super) fn probed(tick: &mut Tick<'_>, upstream: &UpstreamName, state: ProbeState) {
+pub(super) fn handle_probe_result(tick: &mut Tick<'_>, upstream: &UpstreamName, state: ProbeState) {
     let lost_attempts = tick
         .tables
         .upstreams
         .get(upstream)
         .map_or(0, |row| row.health.lost.len());
     match state {
-        ProbeState::Down => judge_crash(tick, upstream, CrashEvidence::Refused),
-        ProbeState::Restarted => judge_crash(tick, upstream, CrashEvidence::Restarted),
+        ProbeState::Down => conclude_crash(tick, upstream, CrashEvidence::Refused),
+        ProbeState::Restarted => conclude_crash(tick, upstream, CrashEvidence::Restarted),
         ProbeState::Up if lost_attempts > 1 => {
-            judge_crash(tick, upstream, CrashEvidence::SeveralLost);
+            conclude_crash(tick, upstream, CrashEvidence::SeveralLost);
         }
-        ProbeState::Up => judge_broken(tick, upstream),
+        ProbeState::Up => conclude_connection_loss(tick, upstream),
     }
 }
 
 /// Judges a broken connection whose probe has had no answer.
-pub(super) fn expire_probe(tick: &mut Tick<'_>, upstream: &UpstreamName) {
-    judge_crash(tick, upstream, CrashEvidence::ProbeSilent);
+pub(super) fn handle_probe_timeout(tick: &mut Tick<'_>, upstream: &UpstreamName) {
+    conclude_crash(tick, upstream, CrashEvidence::ProbeSilent);
 }
 
 /// Ends the examination of an upstream as an ordinary broken connection.
-fn judge_broken(tick: &mut Tick<'_>, upstream: &UpstreamName) {
-    let lost = take_lost(tick, upstream);
+fn conclude_connection_loss(tick: &mut Tick<'_>, upstream: &UpstreamName) {
+    let lost = take_lost_attempts(tick, upstream);
     if lost.is_empty() {
         return;
     }
@@ -78,15 +78,19 @@
         evidence: CrashEvidence::Answering,
     });
     for attempt in &lost {
-        forget_innocent(tick, &attempt.digest);
+        remove_if_cleared(tick, &attempt.digest);
     }
-    ejection::upstream_failed(tick, upstream);
-    resume(tick, upstream, lost.iter().map(|lost| lost.digest));
+    ejection::record_failure(tick, upstream);
+    resume_assignment(tick, upstream, lost.iter().map(|lost| lost.digest));
 }
 
 /// Ends the examination of an upstream as a crash.
-pub(super) fn judge_crash(tick: &mut Tick<'_>, upstream: &UpstreamName, evidence: CrashEvidence) {
-    let lost = take_lost(tick, upstream);
+pub(super) fn conclude_crash(
+    tick: &mut Tick<'_>,
+    upstream: &UpstreamName,
+    evidence: CrashEvidence,
+) {
+    let lost = take_lost_attempts(tick, upstream);
     if lost.is_empty() {
         return;
     }
@@ -94,7 +98,7 @@
         .iter()
         .map(|lost| (lost.call, lost.vm.clone(), lost.digest))
         .collect();
-    suspects.extend(count_running(tick, upstream));
+    suspects.extend(mark_running_counted(tick, upstream));
     let alone = lost.iter().find(|lost| lost.alone).map(|lost| lost.digest);
     let digests: BTreeSet<ContentDigest> = suspects.iter().map(|(.., digest)| *digest).collect();
     tick.decide(Decision::Crashed {
@@ -103,9 +107,9 @@
         evidence,
     });
     for digest in &digests {
-        see(tick, *digest).crashes += 1;
+        touch_suspect(tick, *digest).crashes += 1;
     }
-    count_copies(tick, &digests);
+    recount_running(tick, &digests);
     for (call, vm, digest) in suspects {
         let crashes = tick
             .tables
@@ -115,18 +119,18 @@
         tick.send(&vm, PlacementMessage::Suspected { call, crashes });
     }
     if let Some(digest) = alone {
-        quarantine::declare(tick, digest);
+        quarantine::quarantine_on_all_vms(tick, digest);
     }
     if let Some(row) = tick.tables.upstreams.get_mut(upstream) {
         row.health.cache_from_us = tick.now_us + 1;
         row.prefill_until_us = 0;
     }
-    ejection::rest(tick, upstream);
-    resume(tick, upstream, digests.into_iter());
+    ejection::back_off(tick, upstream);
+    resume_assignment(tick, upstream, digests.into_iter());
 }
 
 /// Takes the lost attempts of an upstream; their contents are no longer examined.
-fn take_lost(tick: &mut Tick<'_>, upstream: &UpstreamName) -> Vec<LostAttempt> {
+fn take_lost_attempts(tick: &mut Tick<'_>, upstream: &UpstreamName) -> Vec<LostAttempt> {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return Vec::new();
     };
@@ -140,7 +144,7 @@
 }
 
 /// Marks the attempts that still run on a crashed upstream as counted.
-fn count_running(
+fn mark_running_counted(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
 ) -> Vec<(CallId, VmName, ContentDigest)> {
@@ -157,7 +161,7 @@
 }
 
 /// Counts the running copies of contents; crashes are rare enough for a scan.
-fn count_copies(tick: &mut Tick<'_>, digests: &BTreeSet<ContentDigest>) {
+fn recount_running(tick: &mut Tick<'_>, digests: &BTreeSet<ContentDigest>) {
     for digest in digests {
         if let Some(suspect) = tick.tables.suspects.get_mut(digest) {
             suspect.running = 0;
@@ -174,7 +178,7 @@
 }
 
 /// Lets held calls and the pools of an upstream go on.
-fn resume(
+fn resume_assignment(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
     digests: impl Iterator<Item = ContentDigest>,
@@ -183,17 +187,17 @@
     let pools = row.map(|row| row.pools.clone()).unwrap_or_default();
     for digest in digests {
         for pool in &pools {
-            placement::release_held(tick, pool, &digest);
+            placement::requeue_held(tick, pool, &digest);
         }
     }
-    placement::wake(tick, upstream);
+    placement::refresh_and_assign(tick, upstream);
 }
 
 /// Returns the row of a content, which is kept for another time.
-fn see<'a>(tick: &'a mut Tick<'_>, digest: ContentDigest) -> &'a mut Suspect {
+fn touch_suspect<'a>(tick: &'a mut Tick<'_>, digest: ContentDigest) -> &'a mut Suspect {
     let now_us = tick.now_us;
     if !tick.tables.suspects.contains_key(&digest) {
-        let due_us = now_us + keep_us(tick);
+        let due_us = now_us + retention_us(tick);
         let timer = Timer::SuspectIdle(digest);
         tick.tables.timers.set(due_us, timer);
     }
@@ -207,21 +211,21 @@
 
 /// Returns how long a suspect is remembered: past the end of a quarantine, so
 /// that a content that crashes again right after it still runs alone.
-fn keep_us(tick: &Tick<'_>) -> u64 {
+fn retention_us(tick: &Tick<'_>) -> u64 {
     tick.settings.quarantine_ms * 2_000
 }
 
 /// Takes over the crash count that an entry VM remembers.
-pub(crate) fn carry_crashes(tick: &mut Tick<'_>, digest: ContentDigest, crashes: u32) {
+pub(crate) fn raise_crash_count(tick: &mut Tick<'_>, digest: ContentDigest, crashes: u32) {
     if crashes == 0 {
         return;
     }
-    let row = see(tick, digest);
+    let row = touch_suspect(tick, digest);
     row.crashes = row.crashes.max(crashes);
 }
 
 /// Forgets the suspicion against a content that completed.
-pub(crate) fn clear_suspect(tick: &mut Tick<'_>, digest: &ContentDigest) {
+pub(crate) fn clear_crash_count(tick: &mut Tick<'_>, digest: &ContentDigest) {
     if tick.tables.suspects.is_empty() {
         return;
     }
@@ -231,7 +235,7 @@
 }
 
 /// Removes the row of a content that was in no crash.
-fn forget_innocent(tick: &mut Tick<'_>, digest: &ContentDigest) {
+fn remove_if_cleared(tick: &mut Tick<'_>, digest: &ContentDigest) {
     let suspect = tick.tables.suspects.get(digest);
     if suspect.is_some_and(|row| row.crashes == 0 && row.examined == 0) {
         tick.tables.suspects.remove(digest);
@@ -243,7 +247,7 @@
     let Some(suspect) = tick.tables.suspects.get(&digest) else {
         return;
     };
-    let due_us = suspect.seen_us + keep_us(tick);
+    let due_us = suspect.seen_us + retention_us(tick);
     if due_us <= tick.now_us && suspect.running == 0 {
         tick.tables.suspects.remove(&digest);
     } else {
--- a/crates/core/src/systems/peers/group.rs
+++ b/crates/core/src/systems/peers/group.rs
@@ -71,7 +71,7 @@
         }
     }
     for (name, _) in before.iter().chain(&running) {
-        placement::wake(tick, name);
+        placement::refresh_and_assign(tick, name);
     }
 }
 
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -50,11 +50,11 @@
         budgets::learn(tick, &vm, summary.incarnation, program);
     }
     for (digest, crashes) in &summary.suspects {
-        outcomes::carry_crashes(tick, *digest, *crashes);
+        outcomes::raise_crash_count(tick, *digest, *crashes);
     }
     for (digest, for_ms) in &summary.quarantined {
         if !tick.tables.quarantine.contains_key(digest) {
-            outcomes::quarantine(tick, *digest, *for_ms);
+            outcomes::quarantine_content(tick, *digest, *for_ms);
         }
     }
     for (other, address) in &summary.others {
--- a/crates/core/src/systems/placement/availability.rs
+++ b/crates/core/src/systems/placement/availability.rs
@@ -6,7 +6,7 @@
 use crate::tables::Waiting;
 
 /// Updates the entries of an upstream in the open sets of its pools from its current load.
-pub(crate) fn list(tick: &mut Tick<'_>, upstream: &UpstreamName) {
+pub(crate) fn refresh_availability(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let is_learned = tick.settings.policy.learned_limit;
     let tables = &mut *tick.tables;
     let Some(row) = tables.upstreams.get_mut(upstream) else {
@@ -35,7 +35,7 @@
 }
 
 /// Updates the availability of an upstream and assigns waiting calls of its pools.
-pub(crate) fn wake(tick: &mut Tick<'_>, upstream: &UpstreamName) {
+pub(crate) fn refresh_and_assign(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let Some(row) = tick.tables.upstreams.get(upstream) else {
         return;
     };
@@ -47,7 +47,7 @@
             }
         }
     }
-    list(tick, upstream);
+    refresh_availability(tick, upstream);
     for pool in &pools {
         owner::assign(tick, pool);
     }
@@ -56,7 +56,7 @@
 /// Adds a call to the ordered queue of its pool.
 pub(super) fn push(tick: &mut Tick<'_>, waiting: Waiting) {
     let lane = queue_order::lane_of(tick, &waiting.place.account);
-    let rank = queue_order::rank(tick, &waiting.place, waiting.arrived_us);
+    let rank = queue_order::compute_rank(tick, &waiting.place, waiting.arrived_us);
     let pool = waiting.place.pool.clone();
     if let Some(pool) = tick.tables.pools.get_mut(&pool) {
         pool.queue.push(lane, rank, waiting);
@@ -64,7 +64,7 @@
 }
 
 /// Moves the calls that were held for a content back to the queue.
-pub(crate) fn release_held(tick: &mut Tick<'_>, pool: &PoolKey, digest: &ContentDigest) {
+pub(crate) fn requeue_held(tick: &mut Tick<'_>, pool: &PoolKey, digest: &ContentDigest) {
     let Some(row) = tick.tables.pools.get_mut(pool) else {
         return;
     };
--- a/crates/core/src/systems/placement/entry.rs
+++ b/crates/core/src/systems/placement/entry.rs
@@ -12,7 +12,7 @@
 use crate::tables::{Call, Stage, Timer};
 
 /// Unanswered requests after which the owner of a pool is considered failed.
-const MAX_UNANSWERED: u32 = 2;
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
 /// Interval at which a queued call is confirmed, in request timeouts.
 const CONFIRM_TIMEOUTS: u64 = 5;
@@ -24,7 +24,7 @@
 const STREAM_OBJECTIVES: u64 = 4;
 
 /// Lower bound of an idempotent route's silence limit; a loaded upstream answers within it.
-const MIN_SILENCE_MS: u64 = 400;
+const MIN_IDEMPOTENT_SILENCE_MS: u64 = 400;
 
 /// Lower bound of the silence limit before the first event; a long prompt is read within it.
 const MIN_FIRST_EVENT_MS: u64 = 1_000;
@@ -36,7 +36,7 @@
 type Assignment = (UpstreamName, PlacementReason, SmallVec<[UpstreamName; 2]>);
 
 /// Starts the next attempt of a call and requests an upstream from the owner of the pool.
-pub(super) fn request(tick: &mut Tick<'_>, id: CallId) {
+pub(super) fn start_attempt(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let Some(call) = tick.tables.calls.get_mut(&id) else {
         return;
@@ -71,20 +71,20 @@
         admission::refuse(tick, id, RefusalKind::NoUpstream, ran, Some(1_000));
         return;
     };
-    let mut place = place_of(call);
+    let mut place = build_place(call);
     let previous = AttemptId {
         call: id,
         number: call.attempts.saturating_sub(1),
     };
     place.ended = tick.tables.finishing.get(&previous).cloned();
     if owner != tick.settings.vm {
-        wait_for_answer(tick, place.attempt, 1);
+        schedule_answer_check(tick, place.attempt, 1);
     }
     tick.send(&owner, PlacementMessage::Place(Box::new(place)));
 }
 
 /// Builds the placement request of a call's current attempt.
-fn place_of(call: &Call) -> Place {
+fn build_place(call: &Call) -> Place {
     let turn = call.new.program.as_ref();
     let continuation = turn.and_then(|turn| turn.continuation.as_ref());
     Place {
@@ -109,7 +109,7 @@
 }
 
 /// Schedules a check for the pool owner's answer after a number of request timeouts.
-fn wait_for_answer(tick: &mut Tick<'_>, attempt: AttemptId, timeouts: u64) {
+fn schedule_answer_check(tick: &mut Tick<'_>, attempt: AttemptId, timeouts: u64) {
     let due_us = tick.now_us + timeouts * tick.settings.place_timeout_ms * 1_000;
     if let Some(call) = tick.tables.calls.get_mut(&attempt.call) {
         call.place.check_us = due_us;
@@ -118,14 +118,14 @@
 }
 
 /// Handles the pool owner's confirmation that a call is queued.
-pub(super) fn queued(tick: &mut Tick<'_>, attempt: AttemptId) {
+pub(super) fn handle_queued(tick: &mut Tick<'_>, attempt: AttemptId) {
     if !is_waiting(tick, attempt) {
         return;
     }
     if let Some(call) = tick.tables.calls.get_mut(&attempt.call) {
         call.place.unanswered = 0;
     }
-    wait_for_answer(tick, attempt, CONFIRM_TIMEOUTS);
+    schedule_answer_check(tick, attempt, CONFIRM_TIMEOUTS);
 }
 
 /// Resends an unanswered request, or places the call locally if the owner is considered failed.
@@ -143,7 +143,10 @@
     call.place.unanswered += 1;
     // Only an owner knows how many copies of a suspect content run, so these calls wait for one.
     let is_suspect = call.place.crashes > 0;
-    if call.place.unanswered >= MAX_UNANSWERED && !is_suspect && place_here(tick, attempt) {
+    if call.place.unanswered >= MAX_UNANSWERED_REQUESTS
+        && !is_suspect
+        && place_locally(tick, attempt)
+    {
         return;
     }
     send_place(tick, attempt.call);
@@ -152,7 +155,7 @@
 /// Places a call without its owner, on the usable upstream with the fewest calls of this VM.
 ///
 /// Scans the whole pool, but only for calls whose owner has failed.
-fn place_here(tick: &mut Tick<'_>, attempt: AttemptId) -> bool {
+fn place_locally(tick: &mut Tick<'_>, attempt: AttemptId) -> bool {
     let Some(call) = tick.tables.calls.get(&attempt.call) else {
         return false;
     };
@@ -180,7 +183,7 @@
     }
     let upstream = runners_up.remove(0);
     let key = call.pool.clone();
-    let running = in_flight(call, upstream.clone());
+    let running = in_flight_report(call, upstream.clone());
     if let Some(owner) = tick.tables.view.pool_owner(&key).cloned() {
         let message = PlacementMessage::InFlight {
             pool: key,
@@ -197,7 +200,7 @@
 }
 
 /// Builds the report of a running attempt for the owner of its pool.
-pub(super) fn in_flight(call: &Call, upstream: UpstreamName) -> InFlight {
+pub(super) fn in_flight_report(call: &Call, upstream: UpstreamName) -> InFlight {
     InFlight {
         attempt: call.attempt(),
         upstream,
@@ -215,7 +218,7 @@
 }
 
 /// Dispatches an attempt that the owner has placed, or releases its upstream.
-pub(super) fn placed(
+pub(super) fn handle_placed(
     tick: &mut Tick<'_>,
     pool: &PoolKey,
     attempt: AttemptId,
@@ -225,13 +228,13 @@
         let call = tick.tables.calls.get(&attempt.call);
         let digest = call.map(|call| call.new.digest).unwrap_or_default();
         if tick.tables.quarantine.contains_key(&digest) {
-            free_unused(tick, pool, attempt, assignment.0);
-            unplaced(tick, attempt, RefusalKind::Quarantined);
+            release_unused(tick, pool, attempt, assignment.0);
+            handle_unplaced(tick, attempt, RefusalKind::Quarantined);
             return;
         }
         if call.is_some_and(|call| tick.now_us >= valid_until_us(call)) {
             // The home has to confirm the turn again before the call may start.
-            free_unused(tick, pool, attempt, assignment.0);
+            release_unused(tick, pool, attempt, assignment.0);
             admission::enter(tick, attempt.call, Stage::Home);
             return;
         }
@@ -246,7 +249,7 @@
     });
     // The owner is already being told that an attempt in `finishing` has ended.
     if !runs_there && !tick.tables.finishing.contains_key(&attempt) {
-        free_unused(tick, pool, attempt, assignment.0);
+        release_unused(tick, pool, attempt, assignment.0);
     }
 }
 
@@ -263,7 +266,7 @@
 }
 
 /// Releases an upstream that was assigned to a call that does not use it.
-fn free_unused(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId, upstream: UpstreamName) {
+fn release_unused(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId, upstream: UpstreamName) {
     let finish = Finish {
         pool: pool.clone(),
         attempt,
@@ -281,7 +284,7 @@
 /// Dispatches an attempt to its upstream.
 fn dispatch(tick: &mut Tick<'_>, attempt: AttemptId, assignment: Assignment) {
     let (upstream, reason, runners_up) = assignment;
-    cancel_waits(tick, attempt);
+    cancel_wait_timers(tick, attempt);
     let Some(call) = tick.tables.calls.get_mut(&attempt.call) else {
         return;
     };
@@ -348,7 +351,8 @@
             gap_ms: route.timeout_ms,
         },
         RouteKind::Idempotent => {
-            let first_ms = (route.objective_ms * IDEMPOTENT_OBJECTIVES).max(MIN_SILENCE_MS);
+            let first_ms =
+                (route.objective_ms * IDEMPOTENT_OBJECTIVES).max(MIN_IDEMPOTENT_SILENCE_MS);
             SilenceLimits {
                 first_ms,
                 gap_ms: first_ms,
@@ -382,7 +386,7 @@
 /// Cancels the wait timers of a call that is no longer queued.
 ///
 /// At a high call rate they would otherwise pile up for the maximum queue time.
-fn cancel_waits(tick: &mut Tick<'_>, attempt: AttemptId) {
+fn cancel_wait_timers(tick: &mut Tick<'_>, attempt: AttemptId) {
     let tables = &mut *tick.tables;
     if let Some(call) = tables.calls.get(&attempt.call) {
         let waits = (call.place.queue_until_us, call.place.check_us);
@@ -392,7 +396,7 @@
 }
 
 /// Refuses a call whose wait for an upstream has timed out.
-pub(super) fn expire(tick: &mut Tick<'_>, attempt: AttemptId) {
+pub(super) fn expire_wait(tick: &mut Tick<'_>, attempt: AttemptId) {
     if !is_waiting(tick, attempt) {
         return;
     }
@@ -408,7 +412,7 @@
 }
 
 /// Refuses a call that the owner of the pool declined to place.
-pub(super) fn unplaced(tick: &mut Tick<'_>, attempt: AttemptId, kind: RefusalKind) {
+pub(super) fn handle_unplaced(tick: &mut Tick<'_>, attempt: AttemptId, kind: RefusalKind) {
     if !is_waiting(tick, attempt) {
         return;
     }
--- a/crates/core/src/systems/placement/isolation.rs
+++ b/crates/core/src/systems/placement/exclusive.rs
@@ -1,4 +1,4 @@
-//! Isolates suspect contents on upstreams that run no other call.
+//! Runs suspect contents exclusively: alone on an upstream.
 //!
 //! A content that was running during two crashes runs alone, so that another
 //! crash can be attributed to it.
@@ -6,31 +6,31 @@
 use smallvec::SmallVec;
 
 use super::super::Tick;
-use super::selection::Chosen;
+use super::selection::SelectedUpstream;
 use super::{availability, owner};
 use crate::ids::{PoolKey, UpstreamName};
 use crate::output::{PlacementReason, RefusalKind};
 use crate::tables::Waiting;
 
-/// Places isolated calls while reserved upstreams are idle.
+/// Places exclusive calls while reserved upstreams are idle.
 pub(super) fn assign(tick: &mut Tick<'_>, pool: &PoolKey) {
-    while let Some(waiting) = next(tick, pool) {
-        start(tick, pool, waiting);
+    while let Some(waiting) = take_ready(tick, pool) {
+        start_exclusive(tick, pool, waiting);
     }
 }
 
-/// Removes and returns the first isolated call if a reserved upstream is idle.
+/// Removes and returns the first exclusive call if a reserved upstream is idle.
 ///
 /// Reserves another upstream if needed. Calls in front of it that are
 /// quarantined, held or no longer suspect are refused or moved.
-fn next(tick: &mut Tick<'_>, pool: &PoolKey) -> Option<Waiting> {
+fn take_ready(tick: &mut Tick<'_>, pool: &PoolKey) -> Option<Waiting> {
     let row = tick.tables.pools.get(pool)?;
     let waiting = row.alone.front()?;
     let digest = waiting.place.digest;
     if tick.tables.quarantine.contains_key(&digest) {
         let waiting = tick.tables.pools.get_mut(pool)?.alone.pop_front()?;
         owner::refuse(tick, waiting, RefusalKind::Quarantined);
-        return next(tick, pool);
+        return take_ready(tick, pool);
     }
     let suspect = tick.tables.suspects.get(&digest).copied();
     let suspect = suspect.unwrap_or_default();
@@ -38,24 +38,24 @@
         // The content completed elsewhere and is no longer suspect.
         let waiting = tick.tables.pools.get_mut(pool)?.alone.pop_front()?;
         availability::push(tick, waiting);
-        return next(tick, pool);
+        return take_ready(tick, pool);
     }
     if suspect.running > 0 || suspect.examined > 0 {
         let row = tick.tables.pools.get_mut(pool)?;
         let waiting = row.alone.pop_front()?;
         row.held.entry(digest).or_default().push_back(waiting);
-        return next(tick, pool);
+        return take_ready(tick, pool);
     }
-    let idle = reserved_idle(tick, pool).or_else(|| {
-        reserve(tick, pool);
-        reserved_idle(tick, pool)
+    let idle = find_idle_reserved(tick, pool).or_else(|| {
+        reserve_upstream(tick, pool);
+        find_idle_reserved(tick, pool)
     });
     idle?;
     tick.tables.pools.get_mut(pool)?.alone.pop_front()
 }
 
 /// Returns a usable reserved upstream on which this VM has placed no attempt.
-fn reserved_idle(tick: &Tick<'_>, pool: &PoolKey) -> Option<UpstreamName> {
+fn find_idle_reserved(tick: &Tick<'_>, pool: &PoolKey) -> Option<UpstreamName> {
     let row = tick.tables.pools.get(pool)?;
     row.reserved
         .iter()
@@ -67,11 +67,11 @@
 }
 
 /// Reserves one more upstream, as far as calls need it and at most half of the pool.
-fn reserve(tick: &mut Tick<'_>, pool: &PoolKey) {
+fn reserve_upstream(tick: &mut Tick<'_>, pool: &PoolKey) {
     let Some(row) = tick.tables.pools.get_mut(pool) else {
         return;
     };
-    let waiting = row.alone.len() + busy_reserved(&tick.tables.upstreams, row);
+    let waiting = row.alone.len() + count_busy_reserved(&tick.tables.upstreams, row);
     let allowed = (row.upstreams.len() / 2).max(1).min(waiting);
     if row.reserved.len() >= allowed {
         return;
@@ -83,11 +83,11 @@
     if let Some(upstream) = tick.tables.upstreams.get_mut(&name) {
         upstream.is_alone = true;
     }
-    availability::list(tick, &name);
+    availability::refresh_availability(tick, &name);
 }
 
 /// Counts the reserved upstreams with running attempts.
-fn busy_reserved(
+fn count_busy_reserved(
     upstreams: &crate::tables::Table<UpstreamName, crate::tables::Upstream>,
     pool: &crate::tables::Pool,
 ) -> usize {
@@ -101,12 +101,12 @@
 }
 
 /// Places a call alone on an idle reserved upstream.
-fn start(tick: &mut Tick<'_>, pool: &PoolKey, waiting: Waiting) {
-    let Some(upstream) = reserved_idle(tick, pool) else {
+fn start_exclusive(tick: &mut Tick<'_>, pool: &PoolKey, waiting: Waiting) {
+    let Some(upstream) = find_idle_reserved(tick, pool) else {
         return;
     };
-    let crashes = owner::crashes(tick, &waiting);
-    let chosen = Chosen {
+    let crashes = owner::crash_count(tick, &waiting);
+    let chosen = SelectedUpstream {
         upstream,
         reason: PlacementReason::Alone { crashes },
         runners_up: SmallVec::new(),
@@ -115,8 +115,8 @@
     owner::place(tick, waiting, chosen, true);
 }
 
-/// Releases reserved upstreams that no isolated call waits for or runs on.
-pub(super) fn unreserve(tick: &mut Tick<'_>, pool: &PoolKey) {
+/// Releases reserved upstreams that no exclusive call waits for or runs on.
+pub(super) fn release_reservations(tick: &mut Tick<'_>, pool: &PoolKey) {
     let Some(row) = tick.tables.pools.get(pool) else {
         return;
     };
@@ -146,6 +146,6 @@
         if let Some(upstream) = tick.tables.upstreams.get_mut(&name) {
             upstream.is_alone = false;
         }
-        availability::list(tick, &name);
+        availability::refresh_availability(tick, &name);
     }
 }
--- a/crates/core/src/systems/placement/hints.rs
+++ b/crates/core/src/systems/placement/hints.rs
@@ -7,7 +7,7 @@
 use crate::tables::{Footprint, Hint, Running, Timer};
 
 /// Shortest expected prefix that counts as a sample of hint accuracy; shorter ones say little.
-const MEASURED_TOKENS: u64 = 500;
+const MIN_ACCURACY_SAMPLE_TOKENS: u64 = 500;
 
 /// Returns the key of a program's root; the name of a root is not copied.
 pub(super) fn root_of(program: &ProgramKey) -> ProgramKey {
@@ -19,7 +19,7 @@
 }
 
 /// Estimates how many prompt tokens each hinted upstream has cached.
-pub(super) fn expected<'a>(
+pub(super) fn expected_cached_tokens<'a>(
     tick: &'a Tick<'_>,
     place: &'a Place,
 ) -> impl Iterator<Item = (&'a UpstreamName, u64)> {
@@ -42,7 +42,7 @@
 }
 
 /// Records a complete attempt in the footprint of its program.
-pub(super) fn note(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+pub(super) fn record_completion(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     let Some(program) = &running.program else {
         return;
     };
@@ -56,11 +56,11 @@
     touch(tick, program).note(hint);
     let root = root_of(program);
     touch(tick, &root).attained_tokens += used_tokens;
-    measure(tick, running, finish);
+    update_hint_accuracy(tick, running, finish);
 }
 
 /// Records that another VM ran a turn of a program on an engine.
-pub(crate) fn note_cached(
+pub(crate) fn record_cached_prefix(
     tick: &mut Tick<'_>,
     program: &ProgramKey,
     upstream: &UpstreamName,
@@ -76,7 +76,7 @@
 }
 
 /// Raises a program's attained tokens to those used before this VM tracked it.
-pub(super) fn carry(tick: &mut Tick<'_>, place: &Place) {
+pub(super) fn raise_attained_tokens(tick: &mut Tick<'_>, place: &Place) {
     let Some(program) = place.program.as_ref().filter(|_| place.spent_tokens > 0) else {
         return;
     };
@@ -86,10 +86,10 @@
 }
 
 /// Updates an upstream's hint trust from the tokens that it found in its cache.
-fn measure(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+fn update_hint_accuracy(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     // Upstreams of relayed calls do not report cached tokens.
     let is_reported = tick.settings.coordination == Coordination::Owners;
-    if running.expected_cached_tokens < MEASURED_TOKENS || !is_reported {
+    if running.expected_cached_tokens < MIN_ACCURACY_SAMPLE_TOKENS || !is_reported {
         return;
     }
     let Some(row) = tick.tables.upstreams.get_mut(&finish.upstream) else {
--- a/crates/core/src/systems/placement/limits.rs
+++ b/crates/core/src/systems/placement/limits.rs
@@ -8,13 +8,13 @@
 use crate::tables::{LimitReason, Running};
 
 /// Shortest prefill that counts as a speed sample; shorter ones mostly measure the network.
-const MEASURED_TOKENS: u64 = 500;
+const MIN_PREFILL_SAMPLE_TOKENS: u64 = 500;
 
 /// Shortest response that counts as a decode sample; shorter ones say little about token time.
-const MEASURED_ANSWER_TOKENS: u64 = 8;
+const MIN_DECODE_SAMPLE_TOKENS: u64 = 8;
 
 /// Updates an upstream's load and limit from a load report, which lags.
-pub(super) fn report(
+pub(super) fn record_load_report(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
     running_calls: u32,
@@ -30,11 +30,11 @@
     let from_calls = row.limit.calls;
     let reason = row.limit.report(now_us, running_calls, tokens_per_s);
     log_change(tick, upstream, from_calls, reason);
-    availability::wake(tick, upstream);
+    availability::refresh_and_assign(tick, upstream);
 }
 
 /// Updates an upstream's speed and limit from a complete attempt.
-pub(super) fn finished(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+pub(super) fn record_completion(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     let now_us = tick.now_us;
     let target_us = tick.settings.token_target_ms * 1_000;
     let Some(row) = tick.tables.upstreams.get_mut(&finish.upstream) else {
@@ -42,7 +42,7 @@
     };
     row.hold_us = (row.hold_us * 15 + finish.total_us) / 16;
     let read_tokens = finish.prompt_tokens.saturating_sub(finish.cached_tokens);
-    if read_tokens >= MEASURED_TOKENS && finish.first_token_us > 0 {
+    if read_tokens >= MIN_PREFILL_SAMPLE_TOKENS && finish.first_token_us > 0 {
         let read_us = finish
             .first_token_us
             .saturating_sub(running.prefill_wait_us);
@@ -54,7 +54,7 @@
         );
         row.prefill_ns_per_token = ((row.prefill_ns_per_token * 31 + ns_per_token) / 32).max(100);
     }
-    if finish.answer_tokens < MEASURED_ANSWER_TOKENS {
+    if finish.answer_tokens < MIN_DECODE_SAMPLE_TOKENS {
         return;
     }
     let decode_us = finish.total_us.saturating_sub(finish.first_token_us);
--- a/crates/core/src/systems/placement/mod.rs
+++ b/crates/core/src/systems/placement/mod.rs
@@ -5,17 +5,17 @@
 
 mod availability;
 mod entry;
+mod exclusive;
 mod hints;
-mod isolation;
 mod limits;
 mod owner;
 mod queue_order;
 mod reconfigure;
 mod selection;
 
-pub(crate) use availability::{list, release_held, wake};
+pub(crate) use availability::{refresh_and_assign, refresh_availability, requeue_held};
 pub(crate) use entry::{end_attempt, resend_finish};
-pub(crate) use hints::note_cached;
+pub(crate) use hints::record_cached_prefix;
 
 use super::{Sender, Tick};
 use crate::ids::{CallId, UpstreamName};
@@ -29,8 +29,8 @@
     pub calls: Vec<CallId>,
     pub messages: Vec<(Sender, PlacementMessage)>,
     /// Running calls and tokens per second that upstreams report.
-    pub loads: Vec<(UpstreamName, u32, u64)>,
-    pub due: Vec<Timer>,
+    pub load_reports: Vec<(UpstreamName, u32, u64)>,
+    pub due_timers: Vec<Timer>,
     pub config_changed: bool,
 }
 
@@ -38,8 +38,8 @@
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
             && self.messages.is_empty()
-            && self.loads.is_empty()
-            && self.due.is_empty()
+            && self.load_reports.is_empty()
+            && self.due_timers.is_empty()
             && !self.config_changed
     }
 }
@@ -48,55 +48,55 @@
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.placement);
     if work.config_changed {
-        reconfigure::adopt_config(tick);
+        reconfigure::apply_config(tick);
     }
     if tick.tables.placed_epoch != tick.tables.view.epoch {
-        reconfigure::adopt_view(tick);
+        reconfigure::apply_view(tick);
     }
-    for (upstream, running_calls, tokens_per_s) in work.loads {
-        limits::report(tick, &upstream, running_calls, tokens_per_s);
+    for (upstream, running_calls, tokens_per_s) in work.load_reports {
+        limits::record_load_report(tick, &upstream, running_calls, tokens_per_s);
     }
     for (sender, message) in work.messages {
-        handle(tick, &sender, message);
+        handle_message(tick, &sender, message);
     }
-    for timer in work.due {
-        handle_due(tick, timer);
+    for timer in work.due_timers {
+        handle_timer(tick, timer);
     }
     for call in work.calls {
-        entry::request(tick, call);
+        entry::start_attempt(tick, call);
     }
 }
 
 /// Handles an expired timer.
-fn handle_due(tick: &mut Tick<'_>, timer: Timer) {
+fn handle_timer(tick: &mut Tick<'_>, timer: Timer) {
     match timer {
-        Timer::QueueWait(attempt) => entry::expire(tick, attempt),
+        Timer::QueueWait(attempt) => entry::expire_wait(tick, attempt),
         Timer::PlaceWait(attempt) => entry::check_answer(tick, attempt),
         Timer::FinishWait(attempt) => resend_finish(tick, attempt),
-        Timer::QueueAge(pool, attempt) => owner::advance(tick, &pool, attempt),
+        Timer::QueueAge(pool, attempt) => owner::requeue_aged(tick, &pool, attempt),
         Timer::RunningCheck(attempt) => owner::check_running(tick, attempt),
-        Timer::UpstreamReady(upstream) => wake(tick, &upstream),
+        Timer::UpstreamReady(upstream) => refresh_and_assign(tick, &upstream),
         Timer::FootprintIdle(program) => hints::expire(tick, program),
         _ => {}
     }
 }
 
 /// Handles a message from an entry VM or from the owner of a pool.
-fn handle(tick: &mut Tick<'_>, sender: &Sender, message: PlacementMessage) {
+fn handle_message(tick: &mut Tick<'_>, sender: &Sender, message: PlacementMessage) {
     match message {
         PlacementMessage::Place(place) => owner::enqueue(tick, sender, *place),
-        PlacementMessage::Queued { attempt } => entry::queued(tick, attempt),
+        PlacementMessage::Queued { attempt } => entry::handle_queued(tick, attempt),
         PlacementMessage::Placed {
             pool,
             attempt,
             upstream,
             reason,
             runners_up,
-        } => entry::placed(tick, &pool, attempt, (upstream, reason, runners_up)),
-        PlacementMessage::Unplaced { attempt, kind } => entry::unplaced(tick, attempt, kind),
+        } => entry::handle_placed(tick, &pool, attempt, (upstream, reason, runners_up)),
+        PlacementMessage::Unplaced { attempt, kind } => entry::handle_unplaced(tick, attempt, kind),
         PlacementMessage::Withdraw { pool, attempt } => owner::withdraw(tick, &pool, attempt),
         PlacementMessage::Finish(finish) => {
-            owner::finish(tick, &finish);
+            owner::finish_attempt(tick, &finish);
             let attempt = finish.attempt;
             if sender.vm == tick.settings.vm {
                 tick.tables.finishing.remove(&attempt);
@@ -108,7 +108,7 @@
             tick.tables.finishing.remove(&attempt);
         }
         PlacementMessage::InFlight { pool, attempts } => {
-            reconfigure::adopt_attempts(tick, sender, &pool, attempts);
+            reconfigure::record_in_flight(tick, sender, &pool, attempts);
         }
         PlacementMessage::Suspected { call, crashes } => {
             if let Some(row) = tick.tables.calls.get_mut(&call) {
@@ -116,7 +116,7 @@
             }
         }
         PlacementMessage::Quarantine { digest, for_ms } => {
-            super::outcomes::quarantine(tick, digest, for_ms);
+            super::outcomes::quarantine_content(tick, digest, for_ms);
         }
     }
 }
--- a/crates/core/src/systems/placement/owner.rs
+++ b/crates/core/src/systems/placement/owner.rs
@@ -3,8 +3,8 @@
 use smallvec::SmallVec;
 
 use super::super::{Sender, Tick, outcomes};
-use super::selection::{self, Choice, Chosen};
-use super::{availability, hints, isolation, limits, queue_order};
+use super::selection::{self, SelectedUpstream, Selection};
+use super::{availability, exclusive, hints, limits, queue_order};
 use crate::config::UpstreamChoice;
 use crate::ids::{AttemptId, PoolKey};
 use crate::message::{AttemptResult, Finish, Place, PlacementMessage};
@@ -12,19 +12,19 @@
 use crate::tables::{Running, Suspect, Timer, Waiting};
 
 /// Interval at which entry VMs are asked whether their attempts still run.
-const CHECK_US: u64 = 5_000_000;
+const RUNNING_CHECK_INTERVAL_US: u64 = 5_000_000;
 
 /// Expected tokens of a response before any has been measured.
-const ANSWER_TOKENS: u64 = 200;
+const DEFAULT_ANSWER_TOKENS: u64 = 200;
 
 /// Queues a call in its pool; a repeated request gets the same answer.
 pub(super) fn enqueue(tick: &mut Tick<'_>, sender: &Sender, mut place: Place) {
     let attempt = place.attempt;
     if let Some(ended) = place.ended.take() {
-        finish(tick, &ended);
+        finish_attempt(tick, &ended);
     }
     if tick.tables.running.contains_key(&attempt) {
-        repeat_placed(tick, attempt);
+        resend_placed(tick, attempt);
         return;
     }
     let pool = place.pool.clone();
@@ -33,8 +33,8 @@
     };
     let is_remote = sender.vm != tick.settings.vm;
     if !row.waits(&attempt) {
-        outcomes::carry_crashes(tick, place.digest, place.crashes);
-        hints::carry(tick, &place);
+        outcomes::raise_crash_count(tick, place.digest, place.crashes);
+        hints::raise_attained_tokens(tick, &place);
         let waiting = Waiting {
             vm: sender.vm.clone(),
             place,
@@ -42,7 +42,7 @@
         };
         availability::push(tick, waiting);
         assign(tick, &pool);
-        age(tick, &pool, attempt);
+        schedule_aging(tick, &pool, attempt);
     }
     let waits = |row: &crate::tables::Pool| row.waits(&attempt);
     if is_remote && tick.tables.pools.get(&pool).is_some_and(waits) {
@@ -51,10 +51,10 @@
 }
 
 /// Schedules the move of a queued call to the front of its account.
-fn age(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
+fn schedule_aging(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     let row = tick.tables.pools.get(pool);
     if row.is_some_and(|row| row.queue.get(&attempt).is_some()) {
-        let due_us = queue_order::aged_us(tick, tick.now_us);
+        let due_us = queue_order::aging_due_us(tick, tick.now_us);
         tick.tables
             .timers
             .set(due_us, Timer::QueueAge(pool.clone(), attempt));
@@ -62,7 +62,7 @@
 }
 
 /// Queues a call again whose age now ranks it at the front of its account.
-pub(super) fn advance(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
+pub(super) fn requeue_aged(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     let row = tick.tables.pools.get_mut(pool);
     if let Some(waiting) = row.and_then(|row| row.queue.remove(attempt)) {
         availability::push(tick, waiting);
@@ -70,7 +70,7 @@
 }
 
 /// Resends the assignment of a running attempt to its entry VM.
-fn repeat_placed(tick: &mut Tick<'_>, attempt: AttemptId) {
+fn resend_placed(tick: &mut Tick<'_>, attempt: AttemptId) {
     let Some(running) = tick.tables.running.get(&attempt) else {
         return;
     };
@@ -94,15 +94,15 @@
     if !tick.tables.running.contains_key(&attempt) {
         return;
     }
-    repeat_placed(tick, attempt);
-    let due_us = tick.now_us + CHECK_US;
+    resend_placed(tick, attempt);
+    let due_us = tick.now_us + RUNNING_CHECK_INTERVAL_US;
     tick.tables.timers.set(due_us, Timer::RunningCheck(attempt));
 }
 
 /// Assigns waiting calls of a pool while upstreams have room.
 pub(super) fn assign(tick: &mut Tick<'_>, pool: &PoolKey) {
-    isolation::assign(tick, pool);
-    isolation::unreserve(tick, pool);
+    exclusive::assign(tick, pool);
+    exclusive::release_reservations(tick, pool);
     while assign_next(tick, pool) {}
 }
 
@@ -115,21 +115,21 @@
         return false;
     }
     for attempt in row.queue.candidates(queue_order::lane_order(tick)) {
-        if gate(tick, pool, attempt) {
+        if divert_suspect(tick, pool, attempt) {
             return true;
         }
         let row = tick.tables.pools.get(pool);
         let Some(waiting) = row.and_then(|row| row.queue.get(&attempt)) else {
             continue;
         };
-        let choice = selection::choose(tick, pool, waiting);
-        if matches!(choice, Choice::Wait) {
+        let choice = selection::select_upstream(tick, pool, waiting);
+        if matches!(choice, Selection::Wait) {
             continue;
         }
         let row = tick.tables.pools.get_mut(pool);
         let waiting = row.and_then(|row| row.queue.remove(attempt));
         match (choice, waiting) {
-            (Choice::Run(chosen), Some(waiting)) => place(tick, waiting, chosen, false),
+            (Selection::Assign(chosen), Some(waiting)) => place(tick, waiting, chosen, false),
             (_, Some(waiting)) => refuse(tick, waiting, RefusalKind::UpstreamFailed),
             (_, None) => {}
         }
@@ -141,7 +141,7 @@
 /// Takes a call out of the queue if its content is quarantined, held or must run alone.
 ///
 /// Returns whether it did.
-fn gate(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) -> bool {
+fn divert_suspect(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) -> bool {
     if tick.tables.suspects.is_empty() && tick.tables.quarantine.is_empty() {
         return false;
     }
@@ -167,7 +167,7 @@
         row.held.entry(digest).or_default().push_back(waiting);
     } else {
         row.alone.push_back(waiting);
-        isolation::assign(tick, pool);
+        exclusive::assign(tick, pool);
     }
     true
 }
@@ -182,11 +182,11 @@
 }
 
 /// Records a call as running on an upstream and sends the assignment to its entry VM.
-pub(super) fn place(tick: &mut Tick<'_>, waiting: Waiting, chosen: Chosen, alone: bool) {
+pub(super) fn place(tick: &mut Tick<'_>, waiting: Waiting, chosen: SelectedUpstream, alone: bool) {
     let now_us = tick.now_us;
     let place = waiting.place;
     let attempt = place.attempt;
-    let booked = book(tick, &place, chosen.cached_tokens);
+    let booked = book_service(tick, &place, chosen.cached_tokens);
     let mut prefill_wait_us = 0;
     if let Some(row) = tick.tables.upstreams.get_mut(&chosen.upstream) {
         row.attempts.insert(attempt);
@@ -216,7 +216,7 @@
     };
     tick.tables.running.insert(attempt, running);
     if waiting.vm != tick.settings.vm {
-        let due_us = now_us + CHECK_US;
+        let due_us = now_us + RUNNING_CHECK_INTERVAL_US;
         tick.tables.timers.set(due_us, Timer::RunningCheck(attempt));
     }
     if tick.settings.policy.upstream_choice == UpstreamChoice::RoundRobin
@@ -228,7 +228,7 @@
             .position(|name| *name == chosen.upstream);
         row.next = position.map_or(0, |position| position + 1);
     }
-    availability::list(tick, &chosen.upstream);
+    availability::refresh_availability(tick, &chosen.upstream);
     let placed = PlacementMessage::Placed {
         pool: place.pool,
         attempt,
@@ -240,18 +240,18 @@
 }
 
 /// Books the expected service of a call for its account and returns it.
-fn book(tick: &mut Tick<'_>, place: &Place, cached_tokens: u64) -> u64 {
+fn book_service(tick: &mut Tick<'_>, place: &Place, cached_tokens: u64) -> u64 {
     let lane = queue_order::lane_of(tick, &place.account);
     let Some(row) = tick.tables.pools.get(&place.pool) else {
         return 0;
     };
     let answer_tokens = match row.answer_tokens {
-        0 => ANSWER_TOKENS,
+        0 => DEFAULT_ANSWER_TOKENS,
         tokens => tokens,
     };
     let answer_tokens = answer_tokens.min(place.max_tokens);
-    let service = queue_order::service(place.prompt_tokens, cached_tokens, answer_tokens);
-    let booked = queue_order::weighted(tick, &place.account, service);
+    let service = queue_order::service_units(place.prompt_tokens, cached_tokens, answer_tokens);
+    let booked = queue_order::weighted_service(tick, &place.account, service);
     if let Some(row) = tick.tables.pools.get_mut(&place.pool) {
         row.queue.serve(&lane, booked);
     }
@@ -277,28 +277,28 @@
         first_token_us: 0,
         total_us: 0,
     };
-    finish(tick, &unused);
+    finish_attempt(tick, &unused);
 }
 
 /// Releases the upstream of an attempt that has ended and records the result.
 ///
 /// A repeated report has no effect, because the attempt is no longer in `running`.
-pub(super) fn finish(tick: &mut Tick<'_>, finish: &Finish) {
+pub(super) fn finish_attempt(tick: &mut Tick<'_>, finish: &Finish) {
     let Some(running) = tick.tables.running.remove(&finish.attempt) else {
         return;
     };
     release(tick, finish.attempt, &running);
     settle_service(tick, &running, finish);
     if running.upstream == finish.upstream {
-        learn(tick, &running, finish);
+        record_result(tick, &running, finish);
     }
     if let Some(suspect) = tick.tables.suspects.get(&running.digest)
         && suspect.running == 0
         && suspect.examined == 0
     {
-        availability::release_held(tick, &running.pool, &running.digest);
+        availability::requeue_held(tick, &running.pool, &running.digest);
     }
-    availability::wake(tick, &running.upstream);
+    availability::refresh_and_assign(tick, &running.upstream);
 }
 
 /// Removes an attempt from its upstream and ends its reservation.
@@ -324,8 +324,9 @@
     let lane = queue_order::lane_of(tick, &running.account);
     let is_complete = matches!(finish.result, AttemptResult::Complete);
     let prompt_tokens = if is_complete { finish.prompt_tokens } else { 0 };
-    let service = queue_order::service(prompt_tokens, finish.cached_tokens, finish.answer_tokens);
-    let received = queue_order::weighted(tick, &running.account, service);
+    let service =
+        queue_order::service_units(prompt_tokens, finish.cached_tokens, finish.answer_tokens);
+    let received = queue_order::weighted_service(tick, &running.account, service);
     let Some(row) = tick.tables.pools.get_mut(&running.pool) else {
         return;
     };
@@ -345,26 +346,26 @@
 }
 
 /// Updates health, limits and cache hints from the result of an attempt.
-fn learn(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+fn record_result(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     match finish.result {
         AttemptResult::Complete => {
             if let Some(row) = tick.tables.upstreams.get_mut(&finish.upstream) {
                 row.health.succeeded();
             }
-            outcomes::clear_suspect(tick, &running.digest);
-            limits::finished(tick, running, finish);
-            hints::note(tick, running, finish);
+            outcomes::clear_crash_count(tick, &running.digest);
+            limits::record_completion(tick, running, finish);
+            hints::record_completion(tick, running, finish);
         }
-        AttemptResult::Failed => outcomes::upstream_failed(tick, &finish.upstream),
-        AttemptResult::NotConnected => outcomes::upstream_refused(tick, &finish.upstream),
-        AttemptResult::Lost => outcomes::connection_lost(tick, finish.attempt, running),
-        AttemptResult::Full => outcomes::upstream_full(tick, &finish.upstream),
+        AttemptResult::Failed => outcomes::record_failure(tick, &finish.upstream),
+        AttemptResult::NotConnected => outcomes::record_connection_refused(tick, &finish.upstream),
+        AttemptResult::Lost => outcomes::record_lost_connection(tick, finish.attempt, running),
+        AttemptResult::Full => outcomes::back_off_full(tick, &finish.upstream),
         AttemptResult::Unused => {}
     }
 }
 
 /// Returns the number of crashes during which a call's content was running.
-pub(super) fn crashes(tick: &Tick<'_>, waiting: &Waiting) -> u32 {
+pub(super) fn crash_count(tick: &Tick<'_>, waiting: &Waiting) -> u32 {
     let suspect = tick.tables.suspects.get(&waiting.place.digest);
     suspect.map_or(Suspect::ALONE_CRASHES, |suspect| suspect.crashes)
 }
--- a/crates/core/src/systems/placement/queue_order.rs
+++ b/crates/core/src/systems/placement/queue_order.rs
@@ -10,22 +10,24 @@
 ///
 /// About ten seconds of eight engines: enough for short programs of other
 /// accounts to go first, and less than half of the longest wait of a call.
-const FALL_BEHIND: u64 = 4_000_000;
+const MAX_ACCOUNT_LAG: u64 = 4_000_000;
 
 /// Service of one response token, in prompt tokens read.
 ///
 /// A decode step is shared by the batch but takes far longer than the prefill
 /// of one token.
-pub(super) const ANSWER_WEIGHT: u64 = 30;
+pub(super) const ANSWER_TOKEN_WEIGHT: u64 = 30;
 
 /// Attained tokens below which all programs rank equally.
-const LEVEL_TOKENS: u64 = 8_192;
+const FIRST_LEVEL_TOKENS: u64 = 8_192;
 
 /// Returns the order in which a queue serves its accounts.
 pub(super) fn lane_order(tick: &Tick<'_>) -> LaneOrder {
     match tick.settings.preset {
         PolicyPreset::FairShare => LaneOrder::LeastServed,
-        PolicyPreset::Latency => LaneOrder::LowestRank { bound: FALL_BEHIND },
+        PolicyPreset::Latency => LaneOrder::LowestRank {
+            bound: MAX_ACCOUNT_LAG,
+        },
     }
 }
 
@@ -46,7 +48,7 @@
 /// together instead of overtaking each other with each call. A call that has
 /// waited for three quarters of the longest wait goes first; otherwise long
 /// programs would be refused under load.
-pub(super) fn rank(tick: &Tick<'_>, place: &Place, arrived_us: u64) -> Rank {
+pub(super) fn compute_rank(tick: &Tick<'_>, place: &Place, arrived_us: u64) -> Rank {
     if let Some(priority) = place.priority {
         return Rank {
             attained: u64::from(priority),
@@ -54,9 +56,9 @@
             attempt: place.attempt,
         };
     }
-    let is_old = tick.now_us >= aged_us(tick, arrived_us);
+    let is_old = tick.now_us >= aging_due_us(tick, arrived_us);
     let attained = if tick.settings.policy.least_attained && !is_old {
-        level(attained_tokens(tick, place))
+        service_level(attained_tokens(tick, place))
     } else {
         0
     };
@@ -68,7 +70,7 @@
 }
 
 /// Returns when a call has waited for three quarters of the longest wait.
-pub(super) fn aged_us(tick: &Tick<'_>, arrived_us: u64) -> u64 {
+pub(super) fn aging_due_us(tick: &Tick<'_>, arrived_us: u64) -> u64 {
     arrived_us + tick.settings.queue_ms * 750
 }
 
@@ -84,17 +86,21 @@
 }
 
 /// Returns the level of an amount of tokens; each level is twice as wide as the one before.
-fn level(tokens: u64) -> u64 {
-    u64::from((tokens / LEVEL_TOKENS + 1).ilog2())
+fn service_level(tokens: u64) -> u64 {
+    u64::from((tokens / FIRST_LEVEL_TOKENS + 1).ilog2())
 }
 
 /// Returns the service of a call in service units (prompt tokens read).
-pub(super) fn service(prompt_tokens: u64, cached_tokens: u64, answer_tokens: u64) -> u64 {
-    prompt_tokens.saturating_sub(cached_tokens) + ANSWER_WEIGHT * answer_tokens
+pub(super) fn service_units(prompt_tokens: u64, cached_tokens: u64, answer_tokens: u64) -> u64 {
+    prompt_tokens.saturating_sub(cached_tokens) + ANSWER_TOKEN_WEIGHT * answer_tokens
 }
 
 /// Divides a service by the weight of its account.
-pub(super) fn weighted(tick: &Tick<'_>, account: &Option<AccountName>, service: u64) -> u64 {
+pub(super) fn weighted_service(
+    tick: &Tick<'_>,
+    account: &Option<AccountName>,
+    service: u64,
+) -> u64 {
     let row = account
         .as_ref()
         .and_then(|account| tick.tables.accounts.get(account));
--- a/crates/core/src/systems/placement/reconfigure.rs
+++ b/crates/core/src/systems/placement/reconfigure.rs
@@ -9,10 +9,10 @@
 use crate::tables::{Running, Stage};
 
 /// Keeps a message under the size limit of messages between VMs.
-const ATTEMPTS_PER_MESSAGE: usize = 500;
+const MAX_ATTEMPTS_PER_MESSAGE: usize = 500;
 
 /// Rebuilds the open sets after the upstreams of pools have changed.
-pub(super) fn adopt_config(tick: &mut Tick<'_>) {
+pub(super) fn apply_config(tick: &mut Tick<'_>) {
     let tables = &mut *tick.tables;
     for (_, row) in tables.upstreams.iter_mut() {
         row.pools.clear();
@@ -28,21 +28,21 @@
             }
         }
     }
-    let upstreams: Vec<UpstreamName> = names(tick);
+    let upstreams: Vec<UpstreamName> = upstream_names(tick);
     for name in upstreams {
-        availability::wake(tick, &name);
+        availability::refresh_and_assign(tick, &name);
     }
 }
 
 /// Returns the names of all upstreams.
-fn names(tick: &Tick<'_>) -> Vec<UpstreamName> {
+fn upstream_names(tick: &Tick<'_>) -> Vec<UpstreamName> {
     let rows = tick.tables.upstreams.iter();
     rows.map(|(name, _)| name.clone()).collect()
 }
 
 /// Applies a new view: drops the state of pools that moved away and of VMs that
 /// left, and reports the calls of this VM to the owners of their pools.
-pub(super) fn adopt_view(tick: &mut Tick<'_>) {
+pub(super) fn apply_view(tick: &mut Tick<'_>) {
     tick.tables.placed_epoch = tick.tables.view.epoch;
     drop_waiting(tick);
     drop_running(tick);
@@ -54,13 +54,13 @@
     for attempt in finishing {
         entry::resend_finish(tick, attempt);
     }
-    for name in names(tick) {
-        availability::wake(tick, &name);
+    for name in upstream_names(tick) {
+        availability::refresh_and_assign(tick, &name);
     }
 }
 
 /// Returns whether this VM owns a pool and the entry VM is still a member.
-fn is_kept(tick: &Tick<'_>, pool: &PoolKey, vm: &VmName) -> bool {
+fn is_tracked(tick: &Tick<'_>, pool: &PoolKey, vm: &VmName) -> bool {
     let view = &tick.tables.view;
     view.pool_owner(pool) == Some(&tick.settings.vm) && view.member(vm).is_some()
 }
@@ -72,7 +72,7 @@
         .pools
         .iter()
         .flat_map(|(key, pool)| pool.waiting().map(move |waiting| (key, waiting)))
-        .filter(|(key, waiting)| !is_kept(tick, key, &waiting.vm))
+        .filter(|(key, waiting)| !is_tracked(tick, key, &waiting.vm))
         .map(|(key, waiting)| (key.clone(), waiting.place.attempt))
         .collect();
     for (key, attempt) in stale {
@@ -90,7 +90,7 @@
         .tables
         .running
         .iter()
-        .filter(|(_, running)| !is_kept(tick, &running.pool, &running.vm))
+        .filter(|(_, running)| !is_tracked(tick, &running.pool, &running.vm))
         .map(|(attempt, _)| *attempt)
         .collect();
     for attempt in stale {
@@ -107,7 +107,7 @@
     for (id, call) in tick.tables.calls.iter() {
         match (call.stage, &call.upstream) {
             (Stage::Running, Some(upstream)) => {
-                let attempt = entry::in_flight(call, upstream.clone());
+                let attempt = entry::in_flight_report(call, upstream.clone());
                 in_flight
                     .entry(call.pool.clone())
                     .or_default()
@@ -121,7 +121,7 @@
         let Some(owner) = tick.tables.view.pool_owner(&pool).cloned() else {
             continue;
         };
-        for chunk in attempts.chunks(ATTEMPTS_PER_MESSAGE) {
+        for chunk in attempts.chunks(MAX_ATTEMPTS_PER_MESSAGE) {
             let message = PlacementMessage::InFlight {
                 pool: pool.clone(),
                 attempts: chunk.to_vec(),
@@ -135,34 +135,39 @@
 }
 
 /// Records the running attempts that an entry VM reports for a pool of this VM.
-pub(super) fn adopt_attempts(
+pub(super) fn record_in_flight(
     tick: &mut Tick<'_>,
     sender: &Sender,
     pool: &PoolKey,
     attempts: Vec<InFlight>,
 ) {
-    if !is_kept(tick, pool, &sender.vm) {
+    if !is_tracked(tick, pool, &sender.vm) {
         return;
     }
     for in_flight in attempts {
-        adopt_attempt(tick, sender, pool, in_flight);
+        record_in_flight_attempt(tick, sender, pool, in_flight);
     }
 }
 
 /// Records a reported attempt, unless it is already recorded on the same upstream.
-fn adopt_attempt(tick: &mut Tick<'_>, sender: &Sender, pool: &PoolKey, in_flight: InFlight) {
+fn record_in_flight_attempt(
+    tick: &mut Tick<'_>,
+    sender: &Sender,
+    pool: &PoolKey,
+    in_flight: InFlight,
+) {
     let attempt = in_flight.attempt;
     if let Some(row) = tick.tables.pools.get_mut(pool) {
         row.forget(attempt);
     }
-    outcomes::carry_crashes(tick, in_flight.digest, in_flight.crashes);
+    outcomes::raise_crash_count(tick, in_flight.digest, in_flight.crashes);
     let known = tick.tables.running.get(&attempt);
     if known.is_some_and(|running| running.upstream == in_flight.upstream) {
         return;
     }
     if let Some(running) = tick.tables.running.remove(&attempt) {
         owner::release(tick, attempt, &running);
-        availability::list(tick, &running.upstream);
+        availability::refresh_availability(tick, &running.upstream);
     }
     if let Some(suspect) = tick.tables.suspects.get_mut(&in_flight.digest) {
         suspect.running += 1;
@@ -184,7 +189,7 @@
     if let Some(row) = tick.tables.upstreams.get_mut(&running.upstream) {
         row.attempts.insert(attempt);
     }
-    availability::list(tick, &in_flight.upstream);
+    availability::refresh_availability(tick, &in_flight.upstream);
     tick.tables.running.insert(attempt, running);
     owner::check_running(tick, attempt);
 }
--- a/crates/core/src/systems/placement/selection.rs
+++ b/crates/core/src/systems/placement/selection.rs
@@ -10,7 +10,7 @@
 use crate::tables::{Pool, Upstream, Waiting};
 
 /// Largest pool in which all open upstreams are compared; larger ones are sampled by two hashes.
-const COMPARED_UPSTREAMS: usize = 16;
+const MAX_COMPARED_UPSTREAMS: usize = 16;
 
 /// Weight of prefill time relative to waiting time.
 ///
@@ -19,31 +19,31 @@
 /// the policy report at 2.7 programs per second, weights of 8, 16 and 32 gave
 /// a mean program latency of 122, 107 and 105 s; weights above 16 gain little
 /// and concentrate load on one upstream.
-const READ_WEIGHT: u64 = 16;
+const PREFILL_WEIGHT: u64 = 16;
 
 /// Fixed cost of an upstream in another failure domain: the round trip and the traffic.
-const FAR_US: u64 = 8_000;
+const CROSS_DOMAIN_US: u64 = 8_000;
 
 /// Cost of sending one prompt token to another failure domain.
 ///
 /// Traffic between failure domains is expensive: to keep a prompt of 1,000 tokens
 /// in its domain, a batch may be fuller by a third.
-const FAR_TOKEN_NS: u64 = 25_000;
+const CROSS_DOMAIN_NS_PER_TOKEN: u64 = 25_000;
 
 /// Result of selecting an upstream for a waiting call.
 #[derive(Debug)]
-pub(super) enum Choice {
+pub(super) enum Selection {
     /// The call is assigned to an upstream.
-    Run(Chosen),
+    Assign(SelectedUpstream),
     /// The call stays queued: no upstream has room, or a full one is worth waiting for.
     Wait,
     /// The only allowed upstream is ejected for longer than the call may wait.
-    Never,
+    Refuse,
 }
 
 /// The upstream selected for a call.
 #[derive(Debug)]
-pub(super) struct Chosen {
+pub(super) struct SelectedUpstream {
     pub upstream: UpstreamName,
     pub reason: PlacementReason,
     pub runners_up: SmallVec<[UpstreamName; 2]>,
@@ -52,33 +52,33 @@
 }
 
 /// An upstream with room and its estimated cost for a call.
-struct Offer {
+struct Candidate {
     cost_us: u64,
     cached_tokens: u64,
     upstream: UpstreamName,
 }
 
 /// Selects an upstream with room for a call by the configured policy.
-pub(super) fn choose(tick: &Tick<'_>, key: &PoolKey, waiting: &Waiting) -> Choice {
+pub(super) fn select_upstream(tick: &Tick<'_>, key: &PoolKey, waiting: &Waiting) -> Selection {
     let Some(pool) = tick.tables.pools.get(key) else {
-        return Choice::Wait;
+        return Selection::Wait;
     };
-    if let Some(only) = only(tick, pool, waiting) {
+    if let Some(only) = pinned_upstream(tick, pool, waiting) {
         let row = tick.tables.upstreams.get(only);
         if row.is_some_and(|row| row.health.ejected_until_us > tick.now_us) {
-            return Choice::Never;
+            return Selection::Refuse;
         }
         if row.is_none_or(|row| row.listed.is_none()) {
-            return Choice::Wait;
+            return Selection::Wait;
         }
-        return chosen(&mut std::iter::once(only), PlacementReason::OnlyAllowed);
+        return select_first(&mut std::iter::once(only), PlacementReason::OnlyAllowed);
     }
     let ignores_avoid = avoids_all(tick, pool, waiting);
     let is_allowed = |name: &UpstreamName| ignores_avoid || !waiting.place.avoid.contains(name);
     match tick.settings.policy.upstream_choice {
-        UpstreamChoice::RoundRobin => in_turn(tick, pool, is_allowed),
-        UpstreamChoice::LeastLoaded => least_loaded(pool, is_allowed),
-        UpstreamChoice::LowestCost => lowest_cost(tick, pool, waiting, is_allowed),
+        UpstreamChoice::RoundRobin => select_round_robin(tick, pool, is_allowed),
+        UpstreamChoice::LeastLoaded => select_least_loaded(pool, is_allowed),
+        UpstreamChoice::LowestCost => select_lowest_cost(tick, pool, waiting, is_allowed),
     }
 }
 
@@ -86,7 +86,11 @@
 ///
 /// Returns `None` if the upstream left the pool, is leaving, or crashed or
 /// refused a connection recently.
-fn only<'a>(tick: &Tick<'_>, pool: &Pool, waiting: &'a Waiting) -> Option<&'a UpstreamName> {
+fn pinned_upstream<'a>(
+    tick: &Tick<'_>,
+    pool: &Pool,
+    waiting: &'a Waiting,
+) -> Option<&'a UpstreamName> {
     let only = waiting.place.only.as_ref()?;
     let row = tick.tables.upstreams.get(only)?;
     let has_ended = row.health.has_crashed_lately(tick.now_us);
@@ -96,7 +100,7 @@
 /// Returns whether a call avoids every usable upstream of a pool small enough to check.
 fn avoids_all(tick: &Tick<'_>, pool: &Pool, waiting: &Waiting) -> bool {
     let avoid = &waiting.place.avoid;
-    if avoid.is_empty() || pool.upstreams.len() > COMPARED_UPSTREAMS {
+    if avoid.is_empty() || pool.upstreams.len() > MAX_COMPARED_UPSTREAMS {
         return false;
     }
     pool.upstreams
@@ -112,32 +116,36 @@
 }
 
 /// Selects the next open upstream in round-robin order.
-fn in_turn(tick: &Tick<'_>, pool: &Pool, is_allowed: impl Fn(&UpstreamName) -> bool) -> Choice {
+fn select_round_robin(
+    tick: &Tick<'_>,
+    pool: &Pool,
+    is_allowed: impl Fn(&UpstreamName) -> bool,
+) -> Selection {
     let count = pool.upstreams.len();
     let rotation = (0..count).map(|step| &pool.upstreams[(pool.next + step) % count]);
     let mut open = rotation.filter(|name| {
         let row = tick.tables.upstreams.get(name);
         row.is_some_and(|row| row.listed.is_some()) && is_allowed(name)
     });
-    chosen(&mut open, PlacementReason::InTurn)
+    select_first(&mut open, PlacementReason::InTurn)
 }
 
 /// Selects the open upstream with the fewest running calls relative to its limit.
-fn least_loaded(pool: &Pool, is_allowed: impl Fn(&UpstreamName) -> bool) -> Choice {
+fn select_least_loaded(pool: &Pool, is_allowed: impl Fn(&UpstreamName) -> bool) -> Selection {
     let mut open = pool.open.iter().map(|(_, name)| name);
     let mut allowed = open.by_ref().filter(|name| is_allowed(name));
-    chosen(&mut allowed, PlacementReason::LeastRunning)
+    select_first(&mut allowed, PlacementReason::LeastRunning)
 }
 
 /// Selects the first of the ranked upstreams; the next two are the runners-up.
-fn chosen<'a>(
+fn select_first<'a>(
     ranked: &mut impl Iterator<Item = &'a UpstreamName>,
     reason: PlacementReason,
-) -> Choice {
+) -> Selection {
     let Some(upstream) = ranked.next().cloned() else {
-        return Choice::Wait;
+        return Selection::Wait;
     };
-    Choice::Run(Chosen {
+    Selection::Assign(SelectedUpstream {
         upstream,
         reason,
         runners_up: ranked.take(2).cloned().collect(),
@@ -146,20 +154,20 @@
 }
 
 /// Selects the upstream with the lowest estimated cost of waiting and prefill.
-fn lowest_cost(
+fn select_lowest_cost(
     tick: &Tick<'_>,
     pool: &Pool,
     waiting: &Waiting,
     is_allowed: impl Fn(&UpstreamName) -> bool,
-) -> Choice {
+) -> Selection {
     let hints: SmallVec<[(&UpstreamName, u64); 2]> =
-        hints::expected(tick, &waiting.place).collect();
+        hints::expected_cached_tokens(tick, &waiting.place).collect();
     let cached_on = |name: &UpstreamName| {
         let hint = hints.iter().find(|(hinted, _)| *hinted == name);
         hint.map_or(0, |(_, tokens)| *tokens)
     };
-    let mut offers: SmallVec<[Offer; COMPARED_UPSTREAMS]> = SmallVec::new();
-    for name in compared(tick, pool, waiting, &hints) {
+    let mut offers: SmallVec<[Candidate; MAX_COMPARED_UPSTREAMS]> = SmallVec::new();
+    for name in candidate_names(tick, pool, waiting, &hints) {
         let Some(row) = tick.tables.upstreams.get(name) else {
             continue;
         };
@@ -167,8 +175,8 @@
             continue;
         }
         let cached_tokens = cached_on(name);
-        offers.push(Offer {
-            cost_us: cost_us(tick, row, waiting, cached_tokens),
+        offers.push(Candidate {
+            cost_us: estimate_cost_us(tick, row, waiting, cached_tokens),
             cached_tokens,
             upstream: name.clone(),
         });
@@ -176,10 +184,10 @@
     offers.sort_by(|a, b| (a.cost_us, &a.upstream).cmp(&(b.cost_us, &b.upstream)));
     offers.dedup_by(|a, b| a.upstream == b.upstream);
     let Some(best) = offers.first() else {
-        return Choice::Wait;
+        return Selection::Wait;
     };
-    if is_worth_waiting(tick, waiting, &hints, best.cost_us) {
-        return Choice::Wait;
+    if should_wait_for_cache(tick, waiting, &hints, best.cost_us) {
+        return Selection::Wait;
     }
     let reason = if best.cached_tokens > 0 {
         PlacementReason::CachedPrefix {
@@ -192,7 +200,7 @@
         }
     };
     let others = offers.iter().skip(1).take(2);
-    Choice::Run(Chosen {
+    Selection::Assign(SelectedUpstream {
         upstream: best.upstream.clone(),
         reason,
         runners_up: others.map(|offer| offer.upstream.clone()).collect(),
@@ -204,21 +212,21 @@
 ///
 /// In a large pool these are the hinted ones, two selected by hash, and the
 /// least loaded one in case the hashed ones are full.
-fn compared<'a>(
+fn candidate_names<'a>(
     tick: &Tick<'_>,
     pool: &'a Pool,
     waiting: &Waiting,
     hints: &[(&'a UpstreamName, u64)],
-) -> SmallVec<[&'a UpstreamName; COMPARED_UPSTREAMS]> {
-    if pool.upstreams.len() <= COMPARED_UPSTREAMS {
+) -> SmallVec<[&'a UpstreamName; MAX_COMPARED_UPSTREAMS]> {
+    if pool.upstreams.len() <= MAX_COMPARED_UPSTREAMS {
         return pool.open.iter().map(|(_, name)| name).collect();
     }
-    let mut compared: SmallVec<[&UpstreamName; COMPARED_UPSTREAMS]> =
+    let mut compared: SmallVec<[&UpstreamName; MAX_COMPARED_UPSTREAMS]> =
         hints.iter().map(|(name, _)| *name).collect();
     let attempt = waiting.place.attempt;
     let seed = attempt.call.incarnation.0 ^ (attempt.call.seq << 8) ^ u64::from(attempt.number);
     for round in 0..2 {
-        let hash = spread(seed.wrapping_add(round));
+        let hash = splitmix64(seed.wrapping_add(round));
         let name = &pool.upstreams[(hash % pool.upstreams.len() as u64) as usize];
         let row = tick.tables.upstreams.get(name);
         if row.is_some_and(|row| row.listed.is_some()) {
@@ -230,7 +238,7 @@
 }
 
 /// Estimates the cost of running a call on an upstream.
-fn cost_us(tick: &Tick<'_>, row: &Upstream, waiting: &Waiting, cached_tokens: u64) -> u64 {
+fn estimate_cost_us(tick: &Tick<'_>, row: &Upstream, waiting: &Waiting, cached_tokens: u64) -> u64 {
     let limit_calls = row.limit_calls(tick.settings.policy.learned_limit).max(1);
     let wait_us = row.prefill_until_us.saturating_sub(tick.now_us);
     // A fuller batch decodes more slowly; a full one about doubles the time of a call.
@@ -239,22 +247,22 @@
     let domain = row.config.failure_domain.as_ref();
     let is_cross_domain = domain.is_some_and(|domain| *domain != tick.settings.failure_domain);
     let cross_domain_us = if is_cross_domain {
-        FAR_US + waiting.place.prompt_tokens * FAR_TOKEN_NS / 1_000
+        CROSS_DOMAIN_US + waiting.place.prompt_tokens * CROSS_DOMAIN_NS_PER_TOKEN / 1_000
     } else {
         0
     };
-    wait_us + batch_us + cross_domain_us + READ_WEIGHT * read_us(row, read_tokens)
+    wait_us + batch_us + cross_domain_us + PREFILL_WEIGHT * prefill_us(row, read_tokens)
 }
 
 /// Returns the prefill time of prompt tokens.
-fn read_us(row: &Upstream, tokens: u64) -> u64 {
+fn prefill_us(row: &Upstream, tokens: u64) -> u64 {
     tokens * row.prefill_ns_per_token / 1_000
 }
 
 /// Returns whether waiting for a full upstream with a cached prefix costs less than the best offer.
 ///
 /// The wait is limited to the prefill cost that the cached prefix saves.
-fn is_worth_waiting(
+fn should_wait_for_cache(
     tick: &Tick<'_>,
     waiting: &Waiting,
     hints: &[(&UpstreamName, u64)],
@@ -271,15 +279,16 @@
         if waiting.place.avoid.contains(name) {
             return false;
         }
-        let saved_us = READ_WEIGHT * read_us(row, *cached_tokens);
+        let saved_us = PREFILL_WEIGHT * prefill_us(row, *cached_tokens);
         let limit_calls = row.limit_calls(tick.settings.policy.learned_limit).max(1);
         let free_us = row.hold_us / u64::from(limit_calls);
-        waited_us < saved_us && cost_us(tick, row, waiting, *cached_tokens) + free_us < best_us
+        waited_us < saved_us
+            && estimate_cost_us(tick, row, waiting, *cached_tokens) + free_us < best_us
     })
 }
 
 /// Hashes a number with SplitMix64.
-fn spread(number: u64) -> u64 {
+fn splitmix64(number: u64) -> u64 {
     let hash = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/core/src/systems/timers/mod.rs
+++ b/crates/core/src/systems/timers/mod.rs
@@ -32,11 +32,11 @@
             | Timer::QueueAge(..)
             | Timer::RunningCheck(_)
             | Timer::UpstreamReady(_)
-            | Timer::FootprintIdle(_) => work.placement.due.push(timer),
+            | Timer::FootprintIdle(_) => work.placement.due_timers.push(timer),
             Timer::CrashVerdict(_) | Timer::SuspectIdle(_) | Timer::QuarantineEnd(_) => {
-                work.outcomes.due.push(timer);
+                work.outcomes.due_timers.push(timer);
             }
-            Timer::OrdersReview(_) => work.orders.due.push(timer),
+            Timer::OrdersReview(_) => work.orders.due_timers.push(timer),
             Timer::Summary => work.peers.due = true,
             Timer::Source => work.source.due = true,
             Timer::BudgetIdle(_) => work.budgets.due.push(timer),
