--- a/crates/core/src/systems/orders/mod.rs
+++ b/crates/core/src/systems/orders/mod.rs
@@ -1,10 +1,10 @@
-//! Orders to upstreams: which models they load and unload.
+//! Orders engines to load and unload models.
 //!
 //! The service file states which models each engine should have loaded. The
-//! owner of a service's orders compares that with what the engines report and
-//! sends one order at a time to each engine. Orders carry fencing tokens. For
-//! engines that ignore them, a new owner waits until the longest order of the
-//! old owner has ended.
+//! owner of a service's orders compares them with the models that the engines
+//! report and sends each engine one order at a time. Orders carry fencing
+//! tokens. For engines that ignore these, a new owner waits until the longest
+//! order of the previous owner must have ended.
 
 mod planning;
 mod results;
@@ -14,12 +14,13 @@
 use crate::input::OrderResult;
 use crate::tables::Timer;
 
-/// Time between two comparisons of desired and reported models.
+/// Interval between comparisons of desired and reported models.
 const REVIEW_INTERVAL_US: u64 = 1_000_000;
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
+    /// Loaded models and running calls that engines report.
     pub model_reports: Vec<(UpstreamName, Vec<ModelName>, u32)>,
     pub results: Vec<(UpstreamName, FencingToken, OrderResult)>,
     pub due_timers: Vec<Timer>,
@@ -35,7 +36,7 @@
     }
 }
 
-/// Runs the system.
+/// Processes the collected input, changes of ownership first.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.orders);
     if work.config_changed || !tick.work.view_changes.is_empty() {
@@ -54,7 +55,7 @@
     }
 }
 
-/// Compares desired and reported models of a service, now and again later.
+/// Compares desired and reported models of a service and schedules the next review.
 fn review(tick: &mut Tick<'_>, service: &ServiceName) {
     if !tick.tables.orders.contains_key(service) {
         return;
--- a/crates/core/src/systems/orders/planning.rs
+++ b/crates/core/src/systems/orders/planning.rs
@@ -1,4 +1,4 @@
-//! Chooses the next orders.
+//! Tracks ownership of orders and plans the next order of each engine.
 
 use super::super::Tick;
 use crate::config::ServiceKind;
@@ -6,19 +6,19 @@
 use crate::output::{Decision, Order, OrderAction, Output};
 use crate::tables::{Bucket, NCALLS_PER_CALL, OpenOrder, OrderBook, Timer};
 
-/// Idle reports after which a model may be unloaded.
+/// Consecutive idle reports after which a model may be unloaded.
 ///
-/// Reports lag, so that a call that was just placed may be missing from one.
+/// Reports lag, so a call that was just placed may be missing from one.
 const MIN_IDLE_REPORTS: u32 = 3;
 
-/// Takes over and gives up services after the view or the configuration has changed.
+/// Takes over and gives up the orders of services after a change of the view or configuration.
 pub(super) fn update_ownership(tick: &mut Tick<'_>) {
-    let me = &tick.settings.vm;
+    let own_vm = &tick.settings.vm;
     let tables = &mut *tick.tables;
     let mut gained = Vec::new();
     for (name, service) in tables.services.iter() {
         let is_engine = matches!(service.kind, ServiceKind::Engine(_));
-        if !is_engine || tables.view.orders_owner(name) != Some(me) {
+        if !is_engine || tables.view.orders_owner(name) != Some(own_vm) {
             tables.orders.remove(name);
         } else if !tables.orders.contains_key(name) {
             gained.push((name.clone(), service.weight_loads_per_min));
@@ -52,7 +52,7 @@
         .map(|upstream| (upstream.name.clone(), upstream.checks_fencing))
         .collect();
     for (upstream, checks_fencing) in upstreams {
-        // An order of the old owner may still arrive at an engine that ignores tokens.
+        // An order of the previous owner may still arrive at an engine that ignores tokens.
         let wait_us = if checks_fencing { 0 } else { order_us };
         if tick.now_us >= ready_us + wait_us {
             plan_upstream(tick, service, &upstream);
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns from when this VM may send orders, or `None` without a valid lease.
+/// Returns the time from which this VM may send orders, `None` if it has no valid lease.
 fn ready_us(tick: &Tick<'_>, service: &ServiceName) -> Option<u64> {
     if !tick.tables.lease.is_valid(tick.now_us) {
         return None;
@@ -116,7 +116,7 @@
     send_order(tick, upstream, token, action);
 }
 
-/// Returns what an engine has to do next; `None` if it reports the desired models or nothing.
+/// Returns the next action for an engine, `None` if none is needed or it reports no models.
 fn next_action(tick: &Tick<'_>, upstream: &UpstreamName) -> Option<OrderAction> {
     let row = tick.tables.upstreams.get(upstream)?;
     let loaded = row.loaded.as_ref()?;
@@ -125,13 +125,13 @@
     if let Some(model) = desired.iter().find(is_missing) {
         return Some(OrderAction::Load(model.clone()));
     }
-    // A model is not taken away under calls that may still use it.
+    // Calls in progress may still use the model.
     let is_idle = row.running_calls() == 0 && row.idle_reports >= MIN_IDLE_REPORTS;
     let extra = loaded.iter().find(|model| !desired.contains(model));
     extra.filter(|_| is_idle).cloned().map(OrderAction::Unload)
 }
 
-/// Sends an order.
+/// Emits an order to an engine and logs it.
 fn send_order(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
--- a/crates/core/src/systems/orders/results.rs
+++ b/crates/core/src/systems/orders/results.rs
@@ -1,11 +1,11 @@
-//! Reports of engines and answers to orders.
+//! Handles model reports of engines and results of orders.
 
 use super::super::{Tick, config};
 use crate::ids::{FencingToken, ModelName, UpstreamName};
 use crate::input::OrderResult;
 use crate::output::Decision;
 
-/// Keeps the models that an engine reports; placement uses only loaded ones.
+/// Records the models that an engine reports as loaded; placement uses only these.
 pub(super) fn record_loaded_models(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
@@ -27,7 +27,7 @@
     config::refresh_pools(tick, upstream);
 }
 
-/// Handles the answer to an order; answers to older orders are dropped.
+/// Handles the result of an engine's open order; results of earlier orders are dropped.
 pub(super) fn handle_result(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
@@ -55,7 +55,7 @@
         OrderResult::Done => {
             book.open.remove(upstream);
         }
-        // The order may still take effect; it stays open until its longest time is over.
+        // The order may still take effect, so it stays open until its maximum time has passed.
         OrderResult::Unknown => {}
         OrderResult::Stale => {
             book.open.remove(upstream);
--- a/crates/core/src/systems/outcomes/ejection.rs
+++ b/crates/core/src/systems/outcomes/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection of upstreams that fail again and again.
+//! Ejects upstreams after consecutive failures and backs off from them.
 
 use super::super::{Tick, placement};
 use super::suspects;
@@ -6,7 +6,7 @@
 use crate::output::{CrashEvidence, Decision};
 use crate::tables::Timer;
 
-/// Counts a failure of an upstream and ejects it after too many in a row.
+/// Counts a failure of an upstream and ejects it after too many consecutive ones.
 pub(crate) fn record_failure(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
@@ -25,16 +25,16 @@
     eject(tick, upstream, failures);
 }
 
-/// Keeps calls away from an upstream that refused a connection.
+/// Backs off from an upstream that refused a connection.
 ///
-/// While a broken connection to it is examined, the refusal shows a crash.
+/// If a lost connection to it is being examined, the refusal proves a crash.
 pub(crate) fn record_connection_refused(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     suspects::conclude_crash(tick, upstream, CrashEvidence::Refused);
     back_off(tick, upstream);
     record_failure(tick, upstream);
 }
 
-/// Keeps calls away from an upstream that was full until some may have ended.
+/// Sends no calls to a full upstream until some of its calls may have ended.
 pub(crate) fn back_off_full(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
@@ -45,7 +45,7 @@
     placement::refresh_availability(tick, upstream);
 }
 
-/// Keeps calls away from an upstream for a moment.
+/// Sends no calls to an upstream during its backoff.
 pub(super) fn back_off(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
@@ -56,7 +56,7 @@
     placement::refresh_availability(tick, upstream);
 }
 
-/// Returns whether at most half of each pool is out after one more ejection.
+/// Returns whether at most half of each pool would be ejected after one more ejection.
 fn may_eject(tick: &Tick<'_>, upstream: &UpstreamName) -> bool {
     let Some(row) = tick.tables.upstreams.get(upstream) else {
         return false;
@@ -69,23 +69,23 @@
     })
 }
 
-/// Ejects an upstream.
+/// Ejects an upstream from its pools and schedules its return.
 fn eject(tick: &mut Tick<'_>, upstream: &UpstreamName, failures: u32) {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
     };
-    let for_us = row.health.eject(tick.now_us);
+    let ejection_us = row.health.eject(tick.now_us);
     for pool in &row.pools {
         if let Some(pool) = tick.tables.pools.get_mut(pool) {
             pool.ejected.insert(upstream.clone());
         }
     }
     let timer = Timer::UpstreamReady(upstream.clone());
-    tick.tables.timers.set(tick.now_us + for_us, timer);
+    tick.tables.timers.set(tick.now_us + ejection_us, timer);
     placement::refresh_availability(tick, upstream);
     tick.decide(Decision::Ejected {
         upstream: upstream.clone(),
-        for_ms: for_us / 1_000,
+        for_ms: ejection_us / 1_000,
         failures,
     });
 }
--- a/crates/core/src/systems/outcomes/mod.rs
+++ b/crates/core/src/systems/outcomes/mod.rs
@@ -1,4 +1,4 @@
-//! Results of attempts: responses, charges, retries and failures of upstreams.
+//! Handles results of attempts: responses, charges, retries and upstream failures.
 
 mod ejection;
 mod quarantine;
@@ -16,7 +16,7 @@
 use crate::input::{AttemptEvent, AttemptProgress, ProbeState};
 use crate::tables::{Stage, Timer};
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub events: Vec<AttemptEvent>,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Runs the system.
+/// Processes the collected input.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.outcomes);
     for event in work.events {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Handles an event of the running attempt; events of older attempts are dropped.
+/// Handles an event of a call's running attempt; events of earlier attempts are dropped.
 fn handle_event(tick: &mut Tick<'_>, event: AttemptEvent) {
     let attempt = event.attempt;
     let now_us = tick.now_us;
--- a/crates/core/src/systems/outcomes/quarantine.rs
+++ b/crates/core/src/systems/outcomes/quarantine.rs
@@ -1,4 +1,4 @@
-//! Contents that no VM runs.
+//! Quarantine of request contents, which refuses them on all VMs.
 
 use super::super::Tick;
 use crate::ids::{ContentDigest, VmName};
@@ -6,7 +6,7 @@
 use crate::output::Decision;
 use crate::tables::{Quarantine, Suspect, Timer};
 
-/// Quarantines a content that crashed an upstream alone, on all VMs.
+/// Quarantines a content on all VMs because it crashed an upstream on which it ran alone.
 pub(super) fn quarantine_on_all_vms(tick: &mut Tick<'_>, digest: ContentDigest) {
     let for_ms = tick.settings.quarantine_ms;
     let crashes = tick
@@ -30,7 +30,7 @@
     }
 }
 
-/// Refuses a content on this VM for a time.
+/// Refuses a content on this VM for the given time, or extends its quarantine.
 pub(crate) fn quarantine_content(tick: &mut Tick<'_>, digest: ContentDigest, for_ms: u64) {
     let until_us = tick.now_us + for_ms * 1_000;
     let row = tick
@@ -42,7 +42,7 @@
     tick.tables.timers.set(until_us, timer);
 }
 
-/// Ends a quarantine; the content still runs alone.
+/// Ends a quarantine that has run out; the content must still run alone.
 pub(super) fn expire(tick: &mut Tick<'_>, digest: ContentDigest) {
     let row = tick.tables.quarantine.get(&digest);
     if row.is_none_or(|row| row.until_us > tick.now_us) {
--- a/crates/core/src/systems/outcomes/results.rs
+++ b/crates/core/src/systems/outcomes/results.rs
@@ -1,4 +1,4 @@
-//! Complete responses, charge records and the end of turns.
+//! Completes calls: frees upstreams, ends turns and creates charge records.
 
 use super::super::{Tick, budgets, homes, placement};
 use crate::ids::{AttemptId, CallId};
@@ -7,7 +7,7 @@
 use crate::output::{Answered, Charge, ChargeOutcome, Execution, Output};
 use crate::tables::{Call, LastRun, Stage};
 
-/// Ends a call whose response is complete.
+/// Completes a call whose response has been received in full.
 pub(super) fn complete_call(tick: &mut Tick<'_>, attempt: AttemptId, outcome: AttemptOutcome) {
     release_upstream(tick, attempt, AttemptResult::Complete, &outcome);
     let Some(call) = tick.tables.calls.get_mut(&attempt.call) else {
@@ -36,7 +36,7 @@
     );
 }
 
-/// Gives the final answer to a call that ran.
+/// Removes a call that ran, settles its budget and reports it as answered.
 pub(crate) fn answer_call(
     tick: &mut Tick<'_>,
     id: CallId,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Tells the owner of the pool that an attempt has ended.
+/// Reports the end of an attempt and its measurements to the owner of the pool.
 pub(super) fn release_upstream(
     tick: &mut Tick<'_>,
     attempt: AttemptId,
@@ -92,9 +92,9 @@
     }
 }
 
-/// Makes the charge record of a call from its last attempt.
+/// Builds the charge record of a call from its last attempt.
 ///
-/// A stream that was resumed counts with the tokens of all its attempts.
+/// A resumed stream is charged for the tokens of all its attempts.
 fn build_charge(call: &Call, run: LastRun, prompt_tokens: u64) -> Charge {
     let turn = call.new.program.as_ref().map_or(0, |program| program.turn);
     let passed_tokens = call.relay.as_ref().map_or(0, |relay| relay.passed_tokens);
--- a/crates/core/src/systems/outcomes/retries.rs
+++ b/crates/core/src/systems/outcomes/retries.rs
@@ -1,4 +1,4 @@
-//! Retries of failed attempts.
+//! Retries calls whose attempt failed, or ends them.
 
 use super::super::{Tick, admission};
 use super::results;
@@ -8,19 +8,19 @@
 use crate::output::{ChargeOutcome, Decision, Execution, RefusalKind, RetryReason};
 use crate::tables::{Call, Stage};
 
-/// Attempts of a call, the first included.
+/// Most attempts of a call, including the first.
 ///
-/// Enough for a call that shares an upstream with a crashing request twice,
-/// runs alone after that, and meets refused connections in between.
+/// Enough for a call that loses two attempts to another request that crashes
+/// their upstream, then runs alone, with refused connections in between.
 const MAX_ATTEMPTS: u32 = 8;
 
-/// Failed attempts of a call after which it ends.
+/// Failed attempts after which a call ends; lost or refused connections don't count.
 const MAX_FAILURES: u32 = 3;
 
-/// Lost connections of a call that take nothing from the retry budget.
+/// Lost connections of a call that are retried without using the retry budget.
 ///
-/// A crashing request takes others down with it at most three times, and a
-/// budget must not punish them for it.
+/// A request that crashes its upstream fails other calls with it at most three
+/// times, which must not cost them retry budget.
 const MAX_UNBUDGETED_LOSSES: u32 = 3;
 
 /// Retries or ends a call whose attempt failed.
@@ -87,15 +87,15 @@
     }
 }
 
-/// Returns how an attempt ended as far as its upstream is concerned.
+/// Returns the result of an attempt as it counts for the health of its upstream.
 fn attempt_result(tick: &Tick<'_>, attempt: AttemptId, failure: &Failure) -> AttemptResult {
     let call = tick.tables.calls.get(&attempt.call);
     let is_late = call.is_some_and(|call| tick.now_us >= call.valid_until_us);
     match failure {
-        // The attempt was not started in time, which says nothing against the upstream.
+        // The attempt was not sent in time, which is no failure of the upstream.
         Failure::NotSent if is_late => AttemptResult::Unused,
         Failure::NotSent => AttemptResult::NotConnected,
-        // A refusal of the request (4xx) says nothing against the upstream.
+        // A refusal of the request (4xx) is no failure of the upstream.
         Failure::RefusedByUpstream { status } if *status < 500 && *status != 429 => {
             AttemptResult::Unused
         }
@@ -110,10 +110,10 @@
     }
 }
 
-/// Decides whether a call may be tried again, apart from the budget.
+/// Returns the reason to retry a call or not to, regardless of the retry budget.
 fn check_retry(call: &Call, failure: &Failure, now_us: u64) -> Result<RetryReason, RetryReason> {
-    let is_gone = matches!(failure, Failure::CallerGone { .. });
-    let is_resumable = call.relay.is_some() && call.idempotent && !is_gone;
+    let is_caller_gone = matches!(failure, Failure::CallerGone { .. });
+    let is_resumable = call.relay.is_some() && call.idempotent && !is_caller_gone;
     if failure.is_forwarded() && !is_resumable {
         return Err(RetryReason::Forwarded);
     }
@@ -136,7 +136,7 @@
     Ok(reason)
 }
 
-/// Confines a call that may have run on as many upstreams as its route allows to the last one.
+/// Pins a call to its last upstream once it may have run on as many as its route allows.
 fn pin_to_upstream(call: &mut Call, upstream: &UpstreamName) {
     let Some(relay) = &mut call.relay else {
         return;
@@ -148,28 +148,28 @@
     relay.only = (relay.ran_on.len() >= max_attempts).then(|| upstream.clone());
 }
 
-/// Returns whether a retry takes from the retry budget.
+/// Returns whether a retry after a failure uses the retry budget.
 fn needs_budget(call: &Call, failure: &Failure) -> bool {
     match failure {
         Failure::ConnectionLost { .. } => call.place.losses > MAX_UNBUDGETED_LOSSES,
-        // The upstream rests after a refused connection, which bounds these.
+        // The backoff after a refused connection limits these retries.
         Failure::NotSent => false,
-        // The rest of a full upstream bounds these.
+        // For relayed calls, the backoff of a full upstream limits these retries.
         Failure::RefusedByUpstream { .. } => call.relay.is_none(),
         _ => true,
     }
 }
 
-/// Returns whether a status may come from something between this VM and the upstream, or from an
-/// upstream that did not run the request.
+/// Returns whether a status may come from an intermediary, or from an upstream that did not run
+/// the request.
 fn is_ambiguous_status(status: u16) -> bool {
     matches!(status, 408 | 429 | 502 | 503 | 504)
 }
 
-/// Returns what the charge record says of an attempt that may have run.
+/// Returns the outcome that the charge record states for an attempt that may have run.
 fn charge_outcome(failure: &Failure) -> ChargeOutcome {
     match failure {
-        // Without any answer, the request may not have reached its upstream.
+        // Without a response, the request may not have reached its upstream.
         Failure::CallerGone { answer_tokens: 0 } => ChargeOutcome::Unknown,
         Failure::CallerGone { .. } => ChargeOutcome::Abandoned,
         Failure::UpstreamError { status } if !is_ambiguous_status(*status) => ChargeOutcome::Failed,
@@ -178,7 +178,7 @@
     }
 }
 
-/// Takes one retry from the budget of the call's pool.
+/// Takes one retry from the budget of the call's pool; returns whether one was left.
 fn take_retry_budget(tick: &mut Tick<'_>, attempt: AttemptId) -> bool {
     let (now_us, percent) = (tick.now_us, tick.settings.retry_percent);
     let call = tick.tables.calls.get(&attempt.call);
@@ -187,7 +187,7 @@
         .is_some_and(|pool| pool.retries.take(now_us, percent))
 }
 
-/// Ends a call that is not tried again.
+/// Ends a call that is not retried, with the refusal kind of its last failure.
 fn end_call(tick: &mut Tick<'_>, attempt: AttemptId, failure: Failure) {
     let Some(call) = tick.tables.calls.get(&attempt.call) else {
         return;
--- a/crates/core/src/systems/outcomes/suspects.rs
+++ b/crates/core/src/systems/outcomes/suspects.rs
@@ -1,10 +1,10 @@
-//! Contents that were running when an upstream crashed.
+//! Detects crashes of upstreams and tracks the contents that were running.
 //!
-//! A broken connection alone is no crash. The upstream gets no calls while
-//! the cause is examined: a probe that is refused or shows a restart, a
-//! refused connection of another attempt, or several attempts lost at once
-//! show a crash; a probe that works while one attempt was lost shows an
-//! ordinary broken connection. A probe without an answer counts as a crash.
+//! A lost connection alone is no crash. The upstream gets no calls while the
+//! cause is examined. It counts as a crash if the probe is refused, shows a
+//! restart or times out, if another attempt's connection is refused, or if
+//! several attempts were lost at once. If the probe succeeds and only one
+//! attempt was lost, it counts as an ordinary broken connection.
 
 use std::collections::BTreeSet;
 
@@ -16,10 +16,10 @@
 use crate::output::{CrashEvidence, Decision, Output};
 use crate::tables::{LostAttempt, Running, Suspect, Timer};
 
-/// Time for a probe to be answered.
+/// Time after which an unanswered probe counts as a crash.
 const PROBE_TIMEOUT_US: u64 = 1_000_000;
 
-/// Examines a broken connection.
+/// Records a lost connection and probes the upstream, unless it is being examined already.
 pub(crate) fn record_lost_connection(tick: &mut Tick<'_>, attempt: AttemptId, running: &Running) {
     if running.is_counted {
         return;
@@ -45,7 +45,7 @@
     placement::refresh_availability(tick, &running.upstream);
 }
 
-/// Judges a broken connection by the result of a probe.
+/// Concludes the examination of an upstream from the result of its probe.
 pub(super) fn handle_probe_result(tick: &mut Tick<'_>, upstream: &UpstreamName, state: ProbeState) {
     let lost_attempts = tick
         .tables
@@ -62,12 +62,12 @@
     }
 }
 
-/// Judges a broken connection whose probe has had no answer.
+/// Concludes that an upstream crashed if its probe got no answer.
 pub(super) fn handle_probe_timeout(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     conclude_crash(tick, upstream, CrashEvidence::ProbeSilent);
 }
 
-/// Ends the examination of an upstream as an ordinary broken connection.
+/// Concludes the examination of an upstream as an ordinary broken connection.
 fn conclude_connection_loss(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let lost = take_lost_attempts(tick, upstream);
     if lost.is_empty() {
@@ -84,7 +84,11 @@
     resume_assignment(tick, upstream, lost.iter().map(|lost| lost.digest));
 }
 
-/// Ends the examination of an upstream as a crash.
+/// Concludes the examination of an upstream as a crash.
+///
+/// All contents that were running there become suspects. If the content of a
+/// lost attempt ran alone, it is quarantined. Does nothing if no lost
+/// connection is being examined.
 pub(super) fn conclude_crash(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
@@ -129,7 +133,7 @@
     resume_assignment(tick, upstream, digests.into_iter());
 }
 
-/// Takes the lost attempts of an upstream; their contents are no longer examined.
+/// Removes the lost attempts of an upstream, which ends their examination.
 fn take_lost_attempts(tick: &mut Tick<'_>, upstream: &UpstreamName) -> Vec<LostAttempt> {
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return Vec::new();
@@ -143,7 +147,7 @@
     lost
 }
 
-/// Marks the attempts that still run on a crashed upstream as counted.
+/// Marks the attempts still recorded on a crashed upstream as counted and returns them.
 fn mark_running_counted(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
@@ -160,7 +164,7 @@
     counted
 }
 
-/// Counts the running copies of contents; crashes are rare enough for a scan.
+/// Recounts the running copies of contents; crashes are rare enough for a full scan.
 fn recount_running(tick: &mut Tick<'_>, digests: &BTreeSet<ContentDigest>) {
     for digest in digests {
         if let Some(suspect) = tick.tables.suspects.get_mut(digest) {
@@ -177,7 +181,7 @@
     }
 }
 
-/// Lets held calls and the pools of an upstream go on.
+/// Requeues held calls in the pools of an upstream and resumes assignment.
 fn resume_assignment(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
@@ -193,7 +197,7 @@
     placement::refresh_and_assign(tick, upstream);
 }
 
-/// Returns the row of a content, which is kept for another time.
+/// Returns the row of a content and restarts its retention time.
 fn touch_suspect<'a>(tick: &'a mut Tick<'_>, digest: ContentDigest) -> &'a mut Suspect {
     let now_us = tick.now_us;
     if !tick.tables.suspects.contains_key(&digest) {
@@ -209,13 +213,14 @@
     row
 }
 
-/// Returns how long a suspect is remembered: past the end of a quarantine, so
-/// that a content that crashes again right after it still runs alone.
+/// Returns the retention time of a suspect, twice that of a quarantine.
+///
+/// A content that crashes again right after its quarantine thus still runs alone.
 fn retention_us(tick: &Tick<'_>) -> u64 {
     tick.settings.quarantine_ms * 2_000
 }
 
-/// Takes over the crash count that an entry VM remembers.
+/// Raises a content's crash count to a reported one.
 pub(crate) fn raise_crash_count(tick: &mut Tick<'_>, digest: ContentDigest, crashes: u32) {
     if crashes == 0 {
         return;
@@ -224,7 +229,7 @@
     row.crashes = row.crashes.max(crashes);
 }
 
-/// Forgets the suspicion against a content that completed.
+/// Resets the crash count of a content that completed.
 pub(crate) fn clear_crash_count(tick: &mut Tick<'_>, digest: &ContentDigest) {
     if tick.tables.suspects.is_empty() {
         return;
@@ -234,7 +239,7 @@
     }
 }
 
-/// Removes the row of a content that was in no crash.
+/// Removes the row of a content with no crashes and no pending examinations.
 fn remove_if_cleared(tick: &mut Tick<'_>, digest: &ContentDigest) {
     let suspect = tick.tables.suspects.get(digest);
     if suspect.is_some_and(|row| row.crashes == 0 && row.examined == 0) {
@@ -242,7 +247,7 @@
     }
 }
 
-/// Forgets a content that has not been seen for a long time.
+/// Removes a suspect whose retention time is over and that no longer runs.
 pub(super) fn expire(tick: &mut Tick<'_>, digest: ContentDigest) {
     let Some(suspect) = tick.tables.suspects.get(&digest) else {
         return;
--- a/crates/core/src/systems/placement/selection.rs
+++ b/crates/core/src/systems/placement/selection.rs
@@ -63,15 +63,15 @@
     let Some(pool) = tick.tables.pools.get(key) else {
         return Selection::Wait;
     };
-    if let Some(only) = pinned_upstream(tick, pool, waiting) {
-        let row = tick.tables.upstreams.get(only);
+    if let Some(pinned) = pinned_upstream(tick, pool, waiting) {
+        let row = tick.tables.upstreams.get(pinned);
         if row.is_some_and(|row| row.health.ejected_until_us > tick.now_us) {
             return Selection::Refuse;
         }
         if row.is_none_or(|row| row.listed.is_none()) {
             return Selection::Wait;
         }
-        return select_first(&mut std::iter::once(only), PlacementReason::OnlyAllowed);
+        return select_first(&mut std::iter::once(pinned), PlacementReason::OnlyAllowed);
     }
     let ignores_avoid = avoids_all(tick, pool, waiting);
     let is_allowed = |name: &UpstreamName| ignores_avoid || !waiting.place.avoid.contains(name);
@@ -166,7 +166,7 @@
         let hint = hints.iter().find(|(hinted, _)| *hinted == name);
         hint.map_or(0, |(_, tokens)| *tokens)
     };
-    let mut offers: SmallVec<[Candidate; MAX_COMPARED_UPSTREAMS]> = SmallVec::new();
+    let mut candidates: SmallVec<[Candidate; MAX_COMPARED_UPSTREAMS]> = SmallVec::new();
     for name in candidate_names(tick, pool, waiting, &hints) {
         let Some(row) = tick.tables.upstreams.get(name) else {
             continue;
@@ -175,15 +175,15 @@
             continue;
         }
         let cached_tokens = cached_on(name);
-        offers.push(Candidate {
+        candidates.push(Candidate {
             cost_us: estimate_cost_us(tick, row, waiting, cached_tokens),
             cached_tokens,
             upstream: name.clone(),
         });
     }
-    offers.sort_by(|a, b| (a.cost_us, &a.upstream).cmp(&(b.cost_us, &b.upstream)));
-    offers.dedup_by(|a, b| a.upstream == b.upstream);
-    let Some(best) = offers.first() else {
+    candidates.sort_by(|a, b| (a.cost_us, &a.upstream).cmp(&(b.cost_us, &b.upstream)));
+    candidates.dedup_by(|a, b| a.upstream == b.upstream);
+    let Some(best) = candidates.first() else {
         return Selection::Wait;
     };
     if should_wait_for_cache(tick, waiting, &hints, best.cost_us) {
@@ -199,11 +199,11 @@
             cost_us: best.cost_us,
         }
     };
-    let others = offers.iter().skip(1).take(2);
+    let others = candidates.iter().skip(1).take(2);
     Selection::Assign(SelectedUpstream {
         upstream: best.upstream.clone(),
         reason,
-        runners_up: others.map(|offer| offer.upstream.clone()).collect(),
+        runners_up: others.map(|candidate| candidate.upstream.clone()).collect(),
         cached_tokens: best.cached_tokens,
     })
 }
@@ -259,7 +259,7 @@
     tokens * row.prefill_ns_per_token / 1_000
 }
 
-/// Returns whether waiting for a full upstream with a cached prefix costs less than the best offer.
+/// Returns whether a call should wait for a full upstream that has its prefix cached.
 ///
 /// The wait is limited to the prefill cost that the cached prefix saves.
 fn should_wait_for_cache(
