--- a/crates/core/src/systems/homes/budget.rs
+++ b/crates/core/src/systems/homes/budget.rs
@@ -101,7 +101,7 @@
 }
 
 /// Returns the remaining wall time of a program tree.
-pub(super) fn wall_left_us(tick: &Tick<'_>, key: &ProgramKey) -> u64 {
+pub(super) fn remaining_wall_us(tick: &Tick<'_>, key: &ProgramKey) -> u64 {
     let (Some(limits), Some(root)) = (limits(tick, key), tick.tables.programs.get(&key.root()))
     else {
         return 0;
@@ -111,7 +111,7 @@
 }
 
 /// Closes a program tree if its budget is used up and no turn is in progress.
-pub(super) fn close_if_used_up(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn close_if_exhausted(tick: &mut Tick<'_>, key: &ProgramKey) {
     let root_key = key.root();
     let Some(limits) = limits(tick, key) else {
         return;
@@ -123,6 +123,6 @@
                 || tick.now_us >= root.started_us.saturating_add(limits.wall_us))
     };
     if tick.tables.programs.get(&root_key).is_some_and(is_used_up) {
-        lifecycle::over(tick, &root_key, OverReason::Exhausted);
+        lifecycle::close(tick, &root_key, OverReason::Exhausted);
     }
 }
--- a/crates/core/src/systems/homes/entry.rs
+++ b/crates/core/src/systems/homes/entry.rs
@@ -1,25 +1,25 @@
 //! Start of a turn, on the entry VM.
 
 use super::super::{Tick, admission};
-use super::{HOME_WAIT_MS, MOVING_RETRY_MS, requests, retry_us, settles, witness};
+use super::{HOME_TIMEOUT_MS, MOVING_RETRY_AFTER_MS, backoff_us, requests, settles, witness};
 use crate::ids::{CallId, ProgramKey, VmName};
 use crate::message::{Began, Begin, Denied, HomesMessage};
 use crate::output::{Execution, Output, RefusalKind};
 use crate::tables::{Call, Stage, Timer};
 
 /// Longest delay between two sends of a `Begin`.
-const BEGIN_RETRY_MS: u64 = 1_000;
+const MAX_BEGIN_BACKOFF_MS: u64 = 1_000;
 
 /// Shortest delay between two requests to extend a validity.
 ///
 /// The delay is otherwise half of the remaining validity, which tends to zero as the validity
 /// ends; a home on this VM replies in the same tick, so requests would repeat without a pause.
-const MIN_EXTEND_US: u64 = 20_000;
+const MIN_EXTENSION_INTERVAL_US: u64 = 20_000;
 
 /// Asks the home to start a turn, or to extend the time in which it may be dispatched.
 ///
 /// Without a valid lease nothing is sent until the retry timer expires.
-pub(super) fn begin(tick: &mut Tick<'_>, id: CallId) {
+pub(super) fn request_begin(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let has_lease = tick.tables.lease.is_valid(now_us);
     let has_left = tick.tables.membership.departure.removed_us.is_some();
@@ -27,7 +27,7 @@
         return;
     };
     if call.stage == Stage::Home && call.begin_tries == 0 {
-        call.home_give_up_us = now_us + HOME_WAIT_MS * 1_000;
+        call.home_give_up_us = now_us + HOME_TIMEOUT_MS * 1_000;
     }
     let refusal = match call.stage {
         // Homes deny turns of VMs that are not members.
@@ -36,7 +36,7 @@
         _ => None,
     };
     if let Some(kind) = refusal {
-        let retry_after_ms = Some(MOVING_RETRY_MS);
+        let retry_after_ms = Some(MOVING_RETRY_AFTER_MS);
         admission::refuse(tick, id, kind, Execution::NotRun, retry_after_ms);
         return;
     }
@@ -44,13 +44,13 @@
     let carried = call.new.program.as_ref();
     let carried = carried.and_then(|turn| turn.continuation.clone());
     let carried = carried.filter(|state| Some(&state.program) == call.program.as_ref());
-    let begin = has_lease.then(|| begin_for(call, now_us)).flatten();
+    let begin = has_lease.then(|| build_begin(call, now_us)).flatten();
     call.has_asked_home |= begin.is_some();
-    let wait_us = retry_us(call.begin_tries, BEGIN_RETRY_MS);
+    let wait_us = backoff_us(call.begin_tries, MAX_BEGIN_BACKOFF_MS);
     if let Some(state) = carried {
-        witness::note_carried(tick, &state);
+        witness::record_carried_state(tick, &state);
     }
-    plan_retry(tick, id, wait_us);
+    schedule_retry(tick, id, wait_us);
     let Some(begin) = begin else {
         return;
     };
@@ -60,7 +60,7 @@
 }
 
 /// Builds the `Begin` of a call; `None` if the call does not belong to a program.
-fn begin_for(call: &Call, now_us: u64) -> Option<Begin> {
+fn build_begin(call: &Call, now_us: u64) -> Option<Begin> {
     let turn = call.new.program.as_ref()?;
     Some(Begin {
         call: call.new.id,
@@ -77,7 +77,7 @@
 }
 
 /// Schedules the next send of `Begin`, replacing an earlier schedule.
-fn plan_retry(tick: &mut Tick<'_>, id: CallId, wait_us: u64) {
+fn schedule_retry(tick: &mut Tick<'_>, id: CallId, wait_us: u64) {
     let due_us = tick.now_us + wait_us;
     if let Some(call) = tick.tables.calls.get_mut(&id) {
         call.begin_due_us = due_us;
@@ -92,7 +92,7 @@
         matches!(call.stage, Stage::Home | Stage::Place) && call.begin_due_us <= now_us
     });
     if is_due {
-        begin(tick, id);
+        request_begin(tick, id);
     }
 }
 
@@ -100,12 +100,12 @@
 ///
 /// While the call waits for an upstream, an extension is requested each time
 /// half of the remaining validity has passed.
-pub(super) fn began(tick: &mut Tick<'_>, home: &VmName, began: Began) {
+pub(super) fn handle_began(tick: &mut Tick<'_>, home: &VmName, began: Began) {
     let id = began.call;
     let lease_until_us = tick.tables.lease.until_us;
     let now_us = tick.now_us;
     let Some(call) = tick.tables.calls.get_mut(&id) else {
-        disown(tick, home, id, began.state.program);
+        report_unknown_call(tick, home, id, began.state.program);
         return;
     };
     if !matches!(call.stage, Stage::Home | Stage::Place) {
@@ -114,7 +114,7 @@
     let valid_until_us = began.sent_us.saturating_add(began.valid_us);
     let valid_until_us = valid_until_us.min(lease_until_us);
     if valid_until_us <= now_us {
-        plan_retry(tick, id, MIN_EXTEND_US);
+        schedule_retry(tick, id, MIN_EXTENSION_INTERVAL_US);
         return;
     }
     let awaits_home = call.stage == Stage::Home;
@@ -123,8 +123,8 @@
     call.begin_tries = 0;
     call.state = Some(Box::new(began.state.clone()));
     let wait_us = (valid_until_us - now_us) / 2;
-    plan_retry(tick, id, wait_us.max(MIN_EXTEND_US));
-    witness::note(tick, began.state);
+    schedule_retry(tick, id, wait_us.max(MIN_EXTENSION_INTERVAL_US));
+    witness::record_state(tick, began.state);
     if awaits_home {
         admission::enter(tick, id, Stage::Place);
     }
@@ -134,7 +134,7 @@
 ///
 /// If the end of the call is not confirmed yet, it is reported again instead. A call from
 /// before the restart of this VM may have run.
-fn disown(tick: &mut Tick<'_>, home: &VmName, call: CallId, program: ProgramKey) {
+fn report_unknown_call(tick: &mut Tick<'_>, home: &VmName, call: CallId, program: ProgramKey) {
     if tick.tables.homes.settles.contains_key(&call) {
         settles::send(tick, call);
         return;
@@ -148,15 +148,15 @@
 }
 
 /// Handles a probe by the home; a call that is in progress needs no reply.
-pub(super) fn probed(tick: &mut Tick<'_>, home: &VmName, call: CallId, program: ProgramKey) {
+pub(super) fn handle_probe(tick: &mut Tick<'_>, home: &VmName, call: CallId, program: ProgramKey) {
     if !tick.tables.calls.contains_key(&call) {
-        disown(tick, home, call, program);
+        report_unknown_call(tick, home, call, program);
     }
 }
 
 /// Handles a `Pending`: the home is alive, so the wait for its decision is extended.
-pub(super) fn pending(tick: &mut Tick<'_>, id: CallId) {
-    let give_up_us = tick.now_us + HOME_WAIT_MS * 1_000;
+pub(super) fn handle_pending(tick: &mut Tick<'_>, id: CallId) {
+    let give_up_us = tick.now_us + HOME_TIMEOUT_MS * 1_000;
     if let Some(call) = tick.tables.calls.get_mut(&id)
         && call.stage == Stage::Home
     {
@@ -165,19 +165,19 @@
 }
 
 /// Handles a `Denied`: refuses the call, or retries while its program changes its home.
-pub(super) fn denied(tick: &mut Tick<'_>, denied: Denied) {
+pub(super) fn handle_denied(tick: &mut Tick<'_>, denied: Denied) {
     let now_us = tick.now_us;
     let Some(call) = tick.tables.calls.get_mut(&denied.call) else {
-        requests::denied(tick, denied);
+        requests::handle_denied(tick, denied);
         return;
     };
     if call.stage != Stage::Home {
         return;
     }
     if denied.kind == RefusalKind::HomeMoving && now_us < call.home_give_up_us {
-        let retry_after_ms = denied.retry_after_ms.unwrap_or(MOVING_RETRY_MS);
-        let wait_ms = retry_after_ms.clamp(20, MOVING_RETRY_MS);
-        plan_retry(tick, denied.call, wait_ms * 1_000);
+        let retry_after_ms = denied.retry_after_ms.unwrap_or(MOVING_RETRY_AFTER_MS);
+        let wait_ms = retry_after_ms.clamp(20, MOVING_RETRY_AFTER_MS);
+        schedule_retry(tick, denied.call, wait_ms * 1_000);
         return;
     }
     if !call.may_have_run {
@@ -194,7 +194,7 @@
 }
 
 /// Answers a resent call with the stored response.
-pub(super) fn kept(tick: &mut Tick<'_>, replay: Output, id: CallId) {
+pub(super) fn handle_kept(tick: &mut Tick<'_>, replay: Output, id: CallId) {
     let call = tick.tables.calls.get(&id);
     if call.is_some_and(|call| call.stage == Stage::Home) {
         tick.tables.calls.remove(&id);
--- a/crates/core/src/systems/homes/home.rs
+++ b/crates/core/src/systems/homes/home.rs
@@ -1,9 +1,10 @@
 //! Handling of turns on the home: start, probe, end and loss of the entry VM.
 
 use super::super::Tick;
-use super::order::{self, Verdict};
+use super::order::{self, BeginDecision};
 use super::{
-    MOVING_RETRY_MS, PROBE_MS, budget, lifecycle, permits, release, resume, takeover, tree, waits,
+    MOVING_RETRY_AFTER_MS, PROBE_INTERVAL_MS, budget, lifecycle, permits, release, resume,
+    takeover, tree, waits,
 };
 use crate::ids::{CallId, HistoryDigest, ProgramKey, UpstreamName, VmName};
 use crate::message::{Began, Begin, Denied, HomesMessage, RunningTurn, Settle};
@@ -11,7 +12,7 @@
 use crate::tables::{FinishedTurn, Phase, Program, Timer, Turn, UnknownTurn};
 
 /// Handles a `Begin`: starts the turn, queues it or denies it.
-pub(super) fn begin(tick: &mut Tick<'_>, vm: &VmName, begin: Box<Begin>) {
+pub(super) fn handle_begin(tick: &mut Tick<'_>, vm: &VmName, begin: Box<Begin>) {
     let key = &begin.program;
     let not_run = Execution::NotRun;
     if let Err(retry_after_ms) = takeover::check_home(tick, key) {
@@ -21,7 +22,7 @@
     if !takeover::is_member(tick, vm, begin.call.incarnation) {
         // The loss of a VM that is not a member changes no view, so its turn would not be
         // marked as unknown.
-        let (kind, retry_after_ms) = (RefusalKind::HomeMoving, Some(MOVING_RETRY_MS));
+        let (kind, retry_after_ms) = (RefusalKind::HomeMoving, Some(MOVING_RETRY_AFTER_MS));
         return deny(tick, vm, &begin, kind, not_run, retry_after_ms);
     }
     if waits::refresh(tick, &begin) {
@@ -30,35 +31,35 @@
     if !tick.tables.accounts.contains_key(&key.account) {
         return deny(tick, vm, &begin, RefusalKind::KeyUnknown, not_run, None);
     }
-    if let Err(kind) = resume::resume(tick, key, begin.continuation.as_ref()) {
-        let ran = lifecycle::earlier_run(tick, &begin);
+    if let Err(kind) = resume::ensure_row(tick, key, begin.continuation.as_ref()) {
+        let ran = lifecycle::prior_execution(tick, &begin);
         return deny(tick, vm, &begin, kind, ran, None);
     }
-    carry_out(tick, vm, begin);
+    apply_decision(tick, vm, begin);
 }
 
 /// Applies the decision for a call that asks for its turn.
-fn carry_out(tick: &mut Tick<'_>, vm: &VmName, begin: Box<Begin>) {
+fn apply_decision(tick: &mut Tick<'_>, vm: &VmName, begin: Box<Begin>) {
     let Some(program) = tick.tables.programs.get(&begin.program) else {
         return;
     };
-    match order::judge(tick, program, &begin) {
-        Verdict::Start => start(tick, vm, &begin),
-        Verdict::Again => reply_began(tick, vm, &begin),
-        Verdict::Wait => waits::add(tick, vm, begin, false),
-        Verdict::Attach => waits::add(tick, vm, begin, true),
-        Verdict::Kept {
+    match order::decide(tick, program, &begin) {
+        BeginDecision::Start => start(tick, vm, &begin),
+        BeginDecision::AlreadyBegun => reply_began(tick, vm, &begin),
+        BeginDecision::Wait => waits::add(tick, vm, begin, false),
+        BeginDecision::Attach => waits::add(tick, vm, begin, true),
+        BeginDecision::Replay {
             vm: keeper,
             original,
         } => reply_kept(tick, vm, &begin, keeper, original),
-        Verdict::Deny(kind, ran) => deny(tick, vm, &begin, kind, ran, None),
+        BeginDecision::Deny(kind, ran) => deny(tick, vm, &begin, kind, ran, None),
     }
 }
 
 /// Tells the entry VM of a resent call which VM still has the response.
 fn reply_kept(tick: &mut Tick<'_>, vm: &VmName, begin: &Begin, keeper: VmName, original: CallId) {
     let key = &begin.program;
-    let Some(state) = tree::state_of(tick, key) else {
+    let Some(state) = tree::build_continuation(tick, key) else {
         return;
     };
     let permit = permits::issue(tick, key, begin.turn + 1);
@@ -103,10 +104,10 @@
     if let Err(kind) = budget::reserve(tick, key, begin.reserve_tokens) {
         let program = tick.tables.programs.get(key);
         let ran = program.map_or(Execution::NotRun, |program| {
-            order::earlier_run(tick, program, begin)
+            order::prior_execution(tick, program, begin)
         });
         deny(tick, vm, begin, kind, ran, None);
-        budget::close_if_used_up(tick, key);
+        budget::close_if_exhausted(tick, key);
         return;
     }
     let turn = Turn {
@@ -122,8 +123,8 @@
         program.is_recovered = false;
         program.current = Some(turn);
     }
-    tree::renew(tick, key);
-    plan_probe(tick, key.clone(), begin.call);
+    tree::renew_lease(tick, key);
+    schedule_probe(tick, key.clone(), begin.call);
     tick.decide(Decision::TurnBegan {
         program: key.clone(),
         turn: begin.turn,
@@ -135,22 +136,22 @@
 
 /// Tells the entry VM that the turn has begun and until when it may be dispatched.
 fn reply_began(tick: &mut Tick<'_>, vm: &VmName, begin: &Begin) {
-    let Some(state) = tree::state_of(tick, &begin.program) else {
+    let Some(state) = tree::build_continuation(tick, &begin.program) else {
         return;
     };
     let lease_us = tick.tables.lease.remaining_us(tick.now_us);
     let began = Began {
         call: begin.call,
         sent_us: begin.sent_us,
-        valid_us: lease_us.min(budget::wall_left_us(tick, &begin.program)),
+        valid_us: lease_us.min(budget::remaining_wall_us(tick, &begin.program)),
         state,
     };
     tick.send(vm, HomesMessage::Began(Box::new(began)));
 }
 
 /// Schedules the next probe of a turn in progress.
-fn plan_probe(tick: &mut Tick<'_>, key: ProgramKey, call: CallId) {
-    let due_us = tick.now_us + PROBE_MS * 1_000;
+fn schedule_probe(tick: &mut Tick<'_>, key: ProgramKey, call: CallId) {
+    let due_us = tick.now_us + PROBE_INTERVAL_MS * 1_000;
     tick.tables.timers.set(due_us, Timer::TurnProbe(key, call));
 }
 
@@ -166,20 +167,20 @@
     };
     let program = key.clone();
     tick.send(&vm, HomesMessage::Probe { call, program });
-    plan_probe(tick, key, call);
+    schedule_probe(tick, key, call);
 }
 
 /// Ends the turn in progress if its entry VM reports that it does not know the call.
-pub(super) fn gone(tick: &mut Tick<'_>, call: CallId, key: &ProgramKey, ran: Execution) {
+pub(super) fn handle_gone(tick: &mut Tick<'_>, call: CallId, key: &ProgramKey, ran: Execution) {
     if takeover::check_home(tick, key).is_ok() && is_current(tick, key, call) {
-        end(tick, key, ran, None, None, &[]);
+        end_turn(tick, key, ran, None, None, &[]);
     }
 }
 
 /// Handles the end of a turn as reported by its entry VM.
 ///
 /// If this VM may not act as home, it sends no reply and the entry VM retries.
-pub(super) fn settle(tick: &mut Tick<'_>, vm: &VmName, settle: &Settle) {
+pub(super) fn handle_settle(tick: &mut Tick<'_>, vm: &VmName, settle: &Settle) {
     let key = &settle.state.program;
     if takeover::check_home(tick, key).is_err() {
         return;
@@ -189,7 +190,7 @@
     }
     if is_current(tick, key, settle.call) {
         let used_tokens = Some(settle.used_tokens);
-        end(
+        end_turn(
             tick,
             key,
             settle.ran,
@@ -197,8 +198,8 @@
             settle.history,
             &settle.upstreams,
         );
-    } else if is_unknown(tick, key, settle.call) {
-        resolve(tick, vm, settle);
+    } else if is_outcome_unknown(tick, key, settle.call) {
+        resolve_unknown(tick, vm, settle);
     } else {
         waits::remove(tick, settle.call);
     }
@@ -212,7 +213,7 @@
 }
 
 /// Returns whether no turn is in progress and a call ran the last one, with unknown outcome.
-fn is_unknown(tick: &Tick<'_>, key: &ProgramKey, call: CallId) -> bool {
+fn is_outcome_unknown(tick: &Tick<'_>, key: &ProgramKey, call: CallId) -> bool {
     let program = tick.tables.programs.get(key);
     program.is_some_and(|p| {
         p.current.is_none() && p.unknown.is_some_and(|unknown| unknown.call == call)
@@ -224,7 +225,7 @@
     let key = &settle.state.program;
     let source = TakeoverSource::Settle;
     if tick.tables.programs.contains_key(key) {
-        resume::forward(tick, key, &settle.state, source);
+        resume::advance(tick, key, &settle.state, source);
     } else if takeover::was_home_since(tick, key, settle.state.epoch) {
         return;
     } else {
@@ -261,11 +262,11 @@
         pool: running.pool.clone(),
     });
     budget::adopt(tick, key, running.reserve_tokens);
-    plan_probe(tick, key.clone(), running.call);
+    schedule_probe(tick, key.clone(), running.call);
 }
 
 /// Ends the turn in progress; without `used_tokens` all reserved tokens count as spent.
-pub(super) fn end(
+pub(super) fn end_turn(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
     ran: Execution,
@@ -304,27 +305,27 @@
         }
     }
     budget::settle(tick, key, &turn, ran, booked_tokens);
-    release::note(tick, key, upstreams);
+    release::record_upstreams(tick, key, upstreams);
     if used_tokens.is_none() && ran != Execution::NotRun && turn.pool.model.is_some() {
-        release::note_pool(tick, key, turn.pool);
+        release::record_unknown_pool(tick, key, turn.pool);
     }
-    after_end(tick, key);
+    continue_after_end(tick, key);
 }
 
 /// Updates lease, phase and waiting calls of a program after the end of a turn.
-fn after_end(tick: &mut Tick<'_>, key: &ProgramKey) {
-    tree::renew(tick, key);
+fn continue_after_end(tick: &mut Tick<'_>, key: &ProgramKey) {
+    tree::renew_lease(tick, key);
     let program = tick.tables.programs.get(key);
     if program.is_some_and(|program| program.phase == Phase::Ended) {
-        lifecycle::finish_ended(tick, key);
+        lifecycle::remove_if_idle(tick, key);
     } else {
-        budget::close_if_used_up(tick, key);
+        budget::close_if_exhausted(tick, key);
     }
-    waits::recheck(tick, key);
+    waits::reevaluate(tick, key);
 }
 
 /// Records the outcome of a turn that was unknown until now.
-fn resolve(tick: &mut Tick<'_>, vm: &VmName, settle: &Settle) {
+fn resolve_unknown(tick: &mut Tick<'_>, vm: &VmName, settle: &Settle) {
     if settle.ran == Execution::MayHaveRun {
         return;
     }
@@ -346,8 +347,8 @@
     }
     let (booked_tokens, used_tokens) = (unknown.booked_tokens, settle.used_tokens);
     budget::correct(tick, key, booked_tokens, used_tokens, settle.ran);
-    release::note(tick, key, &settle.upstreams);
-    after_end(tick, key);
+    release::record_upstreams(tick, key, &settle.upstreams);
+    continue_after_end(tick, key);
 }
 
 /// Confirms the end of a turn; if it ran, with the continuation and permit for the next turn.
@@ -358,7 +359,7 @@
         last.is_some_and(|last| last.call == settle.call)
     };
     let state = match tick.tables.programs.get(key) {
-        Some(program) => tree::state_of(tick, key).filter(|_| is_last(program)),
+        Some(program) => tree::build_continuation(tick, key).filter(|_| is_last(program)),
         // The program ended while its last turn was in progress.
         None => {
             let tombstone = tick.tables.homes.over.get(key);
@@ -379,18 +380,18 @@
 }
 
 /// Schedules probes for the turn in progress of a program that was handed over.
-pub(super) fn resume_turn(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn monitor_turn(tick: &mut Tick<'_>, key: &ProgramKey) {
     let program = tick.tables.programs.get(key);
     let Some(turn) = program.and_then(|program| program.current.as_ref()) else {
         return;
     };
     let call = turn.call;
-    plan_probe(tick, key.clone(), call);
-    lose_departed(tick, key);
+    schedule_probe(tick, key.clone(), call);
+    mark_departed_unknown(tick, key);
 }
 
 /// Marks the turn in progress as unknown if its entry VM is no longer a member.
-pub(super) fn lose_departed(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn mark_departed_unknown(tick: &mut Tick<'_>, key: &ProgramKey) {
     let program = tick.tables.programs.get(key);
     let Some(turn) = program.and_then(|program| program.current.clone()) else {
         return;
@@ -403,5 +404,5 @@
         turn: turn.number,
         vm: turn.vm,
     });
-    end(tick, key, Execution::MayHaveRun, None, None, &[]);
+    end_turn(tick, key, Execution::MayHaveRun, None, None, &[]);
 }
--- a/crates/core/src/systems/homes/lifecycle.rs
+++ b/crates/core/src/systems/homes/lifecycle.rs
@@ -11,10 +11,10 @@
 ///
 /// A delayed duplicate must not end a new program with the same name. The entry
 /// VM stops resending long before this.
-const ENDED_KEEP_MS: u64 = 60_000;
+const ENDED_RETENTION_MS: u64 = 60_000;
 
 /// Handles the request of a caller to end a program.
-pub(super) fn end(
+pub(super) fn handle_end(
     tick: &mut Tick<'_>,
     vm: &VmName,
     request: CallId,
@@ -33,10 +33,10 @@
     let program = tick.tables.programs.get(key);
     let is_target = program.is_some_and(|p| generation.is_none_or(|g| g == p.generation));
     if tick.tables.homes.ended.insert(request, ()).is_none() {
-        let due_us = tick.now_us + ENDED_KEEP_MS * 1_000;
+        let due_us = tick.now_us + ENDED_RETENTION_MS * 1_000;
         tick.tables.timers.set(due_us, Timer::EndedForget(request));
         if is_target {
-            over(tick, key, OverReason::Ended);
+            close(tick, key, OverReason::Ended);
         }
     }
     tick.send(vm, HomesMessage::Ended { request });
@@ -45,7 +45,7 @@
 /// Closes a program and its sub-agents and releases their engine memory.
 ///
 /// Turns in progress are not interrupted; the rows of their programs stay until they end.
-pub(super) fn over(tick: &mut Tick<'_>, key: &ProgramKey, reason: OverReason) {
+pub(super) fn close(tick: &mut Tick<'_>, key: &ProgramKey, reason: OverReason) {
     for key in tree::subtree(tick, key) {
         let Some(program) = tick.tables.programs.get_mut(&key) else {
             continue;
@@ -63,14 +63,14 @@
         match reason {
             // The row stays so that later calls are denied with the right reason.
             OverReason::Exhausted => release::release_all(tick, &key),
-            _ => finish_ended(tick, &key),
+            _ => remove_if_idle(tick, &key),
         }
-        waits::recheck(tick, &key);
+        waits::reevaluate(tick, &key);
     }
 }
 
 /// Removes the row of an ended program unless it has a turn in progress or sub-agents.
-pub(super) fn finish_ended(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn remove_if_idle(tick: &mut Tick<'_>, key: &ProgramKey) {
     let is_needed = tick
         .tables
         .programs
@@ -79,22 +79,22 @@
     if is_needed {
         return;
     }
-    waits::recheck(tick, key);
+    waits::reevaluate(tick, key);
     release::release_all(tick, key);
-    bury(tick, key);
+    add_tombstone(tick, key);
     tree::remove(tick, key);
     let root_key = key.root();
     let root = tick.tables.programs.get(&root_key);
     if root_key != *key && root.is_some_and(|root| root.phase == Phase::Ended) {
-        finish_ended(tick, &root_key);
+        remove_if_idle(tick, &root_key);
     }
 }
 
 /// Stores the last state of a program that is over for the length of a lease.
-fn bury(tick: &mut Tick<'_>, key: &ProgramKey) {
+fn add_tombstone(tick: &mut Tick<'_>, key: &ProgramKey) {
     let until_us = tick.now_us + tick.settings.program_lease_ms * 1_000;
     let row = tick.tables.programs.get(key).cloned();
-    if let Some((state, row)) = tree::state_of(tick, key).zip(row) {
+    if let Some((state, row)) = tree::build_continuation(tick, key).zip(row) {
         let tombstone = Tombstone {
             state,
             row,
@@ -107,23 +107,23 @@
 }
 
 /// Returns whether a generation of a program is known to be over.
-pub(super) fn is_over(tick: &Tick<'_>, key: &ProgramKey, generation: u64) -> bool {
+pub(super) fn has_tombstone(tick: &Tick<'_>, key: &ProgramKey, generation: u64) -> bool {
     let tombstone = tick.tables.homes.over.get(key);
     tombstone.is_some_and(|tombstone| tombstone.state.generation == generation)
 }
 
 /// Returns whether a request may have run before, for a program without a row.
-pub(super) fn earlier_run(tick: &Tick<'_>, begin: &Begin) -> Execution {
+pub(super) fn prior_execution(tick: &Tick<'_>, begin: &Begin) -> Execution {
     let tombstone = tick.tables.homes.over.get(&begin.program);
     match (tombstone, &begin.permit) {
-        (Some(tombstone), _) => order::earlier_run(tick, &tombstone.row, begin),
+        (Some(tombstone), _) => order::prior_execution(tick, &tombstone.row, begin),
         (None, Some(_)) => Execution::MayHaveRun,
         (None, None) => Execution::NotRun,
     }
 }
 
 /// Removes the tombstone of a program once it has expired.
-pub(super) fn forget(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn expire_tombstone(tick: &mut Tick<'_>, key: &ProgramKey) {
     let tombstones = &mut tick.tables.homes.over;
     if tombstones
         .get(key)
@@ -134,23 +134,23 @@
 }
 
 /// Closes a program whose lease has expired or whose wall time is used up.
-pub(super) fn lapse(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn check_lease(tick: &mut Tick<'_>, key: &ProgramKey) {
     let Some(program) = tick.tables.programs.get(key) else {
         return;
     };
     let is_running = program.current.is_some() || program.links.first.is_some();
     let is_over = program.lease_until_us <= tick.now_us && !is_running;
     if is_over {
-        return over(tick, key, OverReason::Lapsed);
+        return close(tick, key, OverReason::Lapsed);
     }
     if program.phase == Phase::Open && key.name.is_root() {
-        budget::close_if_used_up(tick, key);
+        budget::close_if_exhausted(tick, key);
     }
-    plan_lapse(tick, key);
+    schedule_lease_check(tick, key);
 }
 
 /// Schedules the next check of the lease and the wall time of a program.
-fn plan_lapse(tick: &mut Tick<'_>, key: &ProgramKey) {
+fn schedule_lease_check(tick: &mut Tick<'_>, key: &ProgramKey) {
     let Some(program) = tick.tables.programs.get(key) else {
         return;
     };
@@ -160,7 +160,7 @@
     } else {
         tick.now_us + lease_us
     };
-    let wall_us = budget::wall_left_us(tick, key);
+    let wall_us = budget::remaining_wall_us(tick, key);
     let due_us = match wall_us {
         0 => due_us,
         wall_us => due_us.min(tick.now_us + wall_us),
@@ -170,7 +170,7 @@
 }
 
 /// Removes a row that was created for a call that was then denied.
-pub(super) fn drop_unused(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn remove_if_unused(tick: &mut Tick<'_>, key: &ProgramKey) {
     let program = tick.tables.programs.get(key);
     if program.is_some_and(|program| program.links.previous.is_none() && program.is_unused()) {
         tree::remove(tick, key);
--- a/crates/core/src/systems/homes/mod.rs
+++ b/crates/core/src/systems/homes/mod.rs
@@ -39,15 +39,15 @@
 ///
 /// Long enough to survive the loss of a home: suspicion, the write of the new
 /// view and the takeover wait take about 6 s with the default settings.
-const HOME_WAIT_MS: u64 = 10_000;
+const HOME_TIMEOUT_MS: u64 = 10_000;
 
 /// Interval at which a home probes the entry VM of a turn in progress.
 ///
 /// Only needed when a reply was lost and the entry VM no longer knows the call.
-const PROBE_MS: u64 = 5_000;
+const PROBE_INTERVAL_MS: u64 = 5_000;
 
 /// Retry delay given to callers while a program changes its home.
-const MOVING_RETRY_MS: u64 = 500;
+const MOVING_RETRY_AFTER_MS: u64 = 500;
 
 /// Inputs queued for the next run of this system.
 #[derive(Debug, Default)]
@@ -55,7 +55,7 @@
     pub calls: Vec<CallId>,
     pub messages: Vec<(Sender, HomesMessage)>,
     pub requests: Vec<ProgramRequest>,
-    pub released: Vec<Release>,
+    pub confirmed_releases: Vec<Release>,
     pub due: Vec<Timer>,
 }
 
@@ -64,54 +64,54 @@
         self.calls.is_empty()
             && self.messages.is_empty()
             && self.requests.is_empty()
-            && self.released.is_empty()
+            && self.confirmed_releases.is_empty()
             && self.due.is_empty()
     }
 }
 
 /// Processes a change of the view, then all queued work.
 pub(crate) fn run(tick: &mut Tick<'_>) {
-    takeover::follow_view(tick);
+    takeover::apply_view_change(tick);
     let work = std::mem::take(&mut tick.work.homes);
     for (sender, message) in work.messages {
-        handle(tick, &sender, message);
+        handle_message(tick, &sender, message);
     }
-    for release in work.released {
+    for release in work.confirmed_releases {
         tick.tables.homes.releases.remove(&release);
     }
     for timer in work.due {
-        handle_due(tick, timer);
+        handle_timer(tick, timer);
     }
     for request in work.requests {
-        requests::arrive(tick, request);
+        requests::submit(tick, request);
     }
     for call in work.calls {
-        entry::begin(tick, call);
+        entry::request_begin(tick, call);
     }
 }
 
 /// Dispatches a message from an entry VM or a home to its handler.
-fn handle(tick: &mut Tick<'_>, sender: &Sender, message: HomesMessage) {
+fn handle_message(tick: &mut Tick<'_>, sender: &Sender, message: HomesMessage) {
     match message {
-        HomesMessage::Begin(begin) => home::begin(tick, &sender.vm, begin),
-        HomesMessage::Settle(settle) => home::settle(tick, &sender.vm, &settle),
-        HomesMessage::Gone { call, program, ran } => home::gone(tick, call, &program, ran),
-        HomesMessage::PermitRequest(request) => permits::request(tick, &sender.vm, &request),
+        HomesMessage::Begin(begin) => home::handle_begin(tick, &sender.vm, begin),
+        HomesMessage::Settle(settle) => home::handle_settle(tick, &sender.vm, &settle),
+        HomesMessage::Gone { call, program, ran } => home::handle_gone(tick, call, &program, ran),
+        HomesMessage::PermitRequest(request) => permits::handle_request(tick, &sender.vm, &request),
         HomesMessage::End {
             request,
             program,
             generation,
-        } => lifecycle::end(tick, &sender.vm, request, &program, generation),
-        HomesMessage::Began(began) => entry::began(tick, &sender.vm, *began),
-        HomesMessage::Pending { call } => entry::pending(tick, call),
-        HomesMessage::Denied(denied) => entry::denied(tick, denied),
+        } => lifecycle::handle_end(tick, &sender.vm, request, &program, generation),
+        HomesMessage::Began(began) => entry::handle_began(tick, &sender.vm, *began),
+        HomesMessage::Pending { call } => entry::handle_pending(tick, call),
+        HomesMessage::Denied(denied) => entry::handle_denied(tick, denied),
         HomesMessage::Kept {
             call,
             vm,
             original,
             continuation,
             permit,
-        } => entry::kept(
+        } => entry::handle_kept(
             tick,
             Output::Replay {
                 call,
@@ -126,32 +126,36 @@
             call,
             continuation,
             permit,
-        } => settles::settled(tick, call, continuation, permit),
-        HomesMessage::Probe { call, program } => entry::probed(tick, &sender.vm, call, program),
-        HomesMessage::PermitIs { request, permit } => requests::permit_is(tick, request, permit),
-        HomesMessage::Ended { request } => requests::ended(tick, request),
+        } => settles::handle_settled(tick, call, continuation, permit),
+        HomesMessage::Probe { call, program } => {
+            entry::handle_probe(tick, &sender.vm, call, program)
+        }
+        HomesMessage::PermitIs { request, permit } => {
+            requests::handle_permit(tick, request, permit)
+        }
+        HomesMessage::Ended { request } => requests::handle_ended(tick, request),
         HomesMessage::Witness {
             transfer,
             epoch,
             witnesses,
-        } => witness::receive(tick, &sender.vm, transfer, epoch, witnesses),
-        HomesMessage::HandOver(handed) => takeover::receive(tick, &sender.vm, *handed),
-        HomesMessage::Received { transfer } => takeover::received(tick, transfer),
+        } => witness::handle_witnesses(tick, &sender.vm, transfer, epoch, witnesses),
+        HomesMessage::HandOver(handed) => takeover::handle_hand_over(tick, &sender.vm, *handed),
+        HomesMessage::Received { transfer } => takeover::handle_received(tick, transfer),
     }
 }
 
 /// Dispatches an expired timer to its handler.
-fn handle_due(tick: &mut Tick<'_>, timer: Timer) {
+fn handle_timer(tick: &mut Tick<'_>, timer: Timer) {
     match timer {
         Timer::TurnRetry(call) => entry::retry(tick, call),
         Timer::SettleRetry(call) => settles::send(tick, call),
         Timer::RequestRetry(request) => requests::send(tick, request),
-        Timer::TombstoneForget(program) => lifecycle::forget(tick, &program),
-        Timer::WitnessForget(program) => witness::forget(tick, &program),
+        Timer::TombstoneForget(program) => lifecycle::expire_tombstone(tick, &program),
+        Timer::WitnessForget(program) => witness::expire_record(tick, &program),
         Timer::TransferRetry(transfer) => transfers::send(tick, transfer),
         Timer::TurnWait(call) => waits::expire(tick, call),
         Timer::TurnProbe(program, call) => home::probe(tick, program, call),
-        Timer::ProgramLease(program) => lifecycle::lapse(tick, &program),
+        Timer::ProgramLease(program) => lifecycle::check_lease(tick, &program),
         Timer::ReleaseRetry(release) => release::send(tick, release),
         Timer::EndedForget(request) => {
             tick.tables.homes.ended.remove(&request);
@@ -161,7 +165,7 @@
 }
 
 /// Returns the delay before the next attempt: 200 ms, doubled each time up to `limit_ms`.
-fn retry_us(tries: u32, limit_ms: u64) -> u64 {
+fn backoff_us(tries: u32, limit_ms: u64) -> u64 {
     let wait_ms = 100u64 << tries.clamp(1, 10);
     wait_ms.min(limit_ms) * 1_000
 }
--- a/crates/core/src/systems/homes/order.rs
+++ b/crates/core/src/systems/homes/order.rs
@@ -9,81 +9,81 @@
 
 /// The response of a home to a `Begin`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum BeginDecision {
     /// The turn begins.
     Start,
     /// This call already runs the turn; the reply is repeated.
-    Again,
+    AlreadyBegun,
     /// The call waits for earlier turns.
     Wait,
     /// The call is a resend of the turn in progress and waits for its end.
     Attach,
     /// The call is a resend of the last turn, whose response is still stored on `vm`.
-    Kept { vm: VmName, original: CallId },
+    Replay { vm: VmName, original: CallId },
     /// The call is denied, with what is known about earlier runs.
     Deny(RefusalKind, Execution),
 }
 
 /// Decides about a call that asks for its turn.
-pub(super) fn judge(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Verdict {
-    let ran = earlier_run(tick, program, begin);
+pub(super) fn decide(tick: &Tick<'_>, program: &Program, begin: &Begin) -> BeginDecision {
+    let ran = prior_execution(tick, program, begin);
     if let Some(current) = &program.current
         && current.call == begin.call
     {
-        return Verdict::Again;
+        return BeginDecision::AlreadyBegun;
     }
     let carried = begin.continuation.as_ref();
     if carried.is_some_and(|c| c.generation != program.generation) {
-        return Verdict::Deny(RefusalKind::ProgramEnded, ran);
+        return BeginDecision::Deny(RefusalKind::ProgramEnded, ran);
     }
     if begin.turn <= program.turn {
-        return judge_finished(tick, program, begin);
+        return decide_finished(tick, program, begin);
     }
     let is_resend = program
         .current
         .as_ref()
         .is_some_and(|current| current.number == begin.turn && current.digest == begin.digest);
     if is_resend {
-        return Verdict::Attach;
+        return BeginDecision::Attach;
     }
     match program.phase {
         Phase::Open => {}
-        Phase::Ended => return Verdict::Deny(RefusalKind::ProgramEnded, ran),
-        Phase::Exhausted => return Verdict::Deny(RefusalKind::OverBudget, ran),
+        Phase::Ended => return BeginDecision::Deny(RefusalKind::ProgramEnded, ran),
+        Phase::Exhausted => return BeginDecision::Deny(RefusalKind::OverBudget, ran),
     }
     match &program.current {
         Some(current) if current.number == begin.turn => {
-            Verdict::Deny(RefusalKind::DuplicateTurn, ran)
+            BeginDecision::Deny(RefusalKind::DuplicateTurn, ran)
         }
-        Some(_) => Verdict::Wait,
-        None if begin.turn > program.turn + 1 => Verdict::Wait,
-        None => judge_next(tick, program, begin),
+        Some(_) => BeginDecision::Wait,
+        None if begin.turn > program.turn + 1 => BeginDecision::Wait,
+        None => decide_next(tick, program, begin),
     }
 }
 
 /// Decides about a call for a turn that has finished.
-fn judge_finished(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Verdict {
+fn decide_finished(tick: &Tick<'_>, program: &Program, begin: &Begin) -> BeginDecision {
     let kind = RefusalKind::DuplicateTurn;
     if begin.turn < program.turn {
-        return Verdict::Deny(kind, Execution::MayHaveRun);
+        return BeginDecision::Deny(kind, Execution::MayHaveRun);
     }
     let Some(last) = &program.last else {
-        return Verdict::Deny(kind, Execution::MayHaveRun);
+        return BeginDecision::Deny(kind, Execution::MayHaveRun);
     };
     if last.digest != begin.digest {
-        return Verdict::Deny(kind, earlier_run(tick, program, begin));
+        return BeginDecision::Deny(kind, prior_execution(tick, program, begin));
     }
-    if is_kept(tick, last) {
-        return Verdict::Kept {
+    if has_stored_response(tick, last) {
+        return BeginDecision::Replay {
             vm: last.vm.clone(),
             original: last.call,
         };
     }
-    Verdict::Deny(kind, Execution::Ran)
+    BeginDecision::Deny(kind, Execution::Ran)
 }
 
 /// Returns whether the entry VM of a finished turn still has the response.
-fn is_kept(tick: &Tick<'_>, last: &FinishedTurn) -> bool {
+fn has_stored_response(tick: &Tick<'_>, last: &FinishedTurn) -> bool {
     let retained_until_us = last.ended_us + tick.settings.answer_keep_ms * 1_000;
     let member = tick.tables.view.member(&last.vm);
     tick.now_us < retained_until_us
@@ -91,19 +91,19 @@
 }
 
 /// Decides about a call for the turn that follows the last finished one.
-fn judge_next(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Verdict {
-    let ran = earlier_run(tick, program, begin);
+fn decide_next(tick: &Tick<'_>, program: &Program, begin: &Begin) -> BeginDecision {
+    let ran = prior_execution(tick, program, begin);
     if let Err(kind) = check_continuation(program, begin) {
-        return Verdict::Deny(kind, ran);
+        return BeginDecision::Deny(kind, ran);
     }
     if begin.idempotent {
-        return Verdict::Start;
+        return BeginDecision::Start;
     }
     let is_unknown = program.unknown.is_some_and(|unknown| !unknown.idempotent);
     if is_unknown || !permits::is_valid(tick, program, begin) {
-        return Verdict::Deny(RefusalKind::PermitVoid, ran);
+        return BeginDecision::Deny(RefusalKind::PermitVoid, ran);
     }
-    Verdict::Start
+    BeginDecision::Start
 }
 
 /// Checks that the continuation of a call matches the program's turn and history.
@@ -135,7 +135,7 @@
 /// with a permit may be a resend: it is reported as not run only if every use
 /// of the permit would be known here, and its turn is not in progress, has not
 /// finished and does not have an unknown outcome.
-pub(super) fn earlier_run(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Execution {
+pub(super) fn prior_execution(tick: &Tick<'_>, program: &Program, begin: &Begin) -> Execution {
     let Some(permit) = &begin.permit else {
         return Execution::NotRun;
     };
--- a/crates/core/src/systems/homes/permits.rs
+++ b/crates/core/src/systems/homes/permits.rs
@@ -47,7 +47,7 @@
 }
 
 /// Handles a request for a permit.
-pub(super) fn request(tick: &mut Tick<'_>, vm: &VmName, request: &PermitRequest) {
+pub(super) fn handle_request(tick: &mut Tick<'_>, vm: &VmName, request: &PermitRequest) {
     let reply = match try_issue(tick, request) {
         Ok(permit) => HomesMessage::PermitIs {
             request: request.request,
@@ -75,7 +75,7 @@
     let not_run = |kind| (kind, Execution::NotRun);
     let key = &request.program;
     takeover::check_home(tick, key).map_err(|_| not_run(RefusalKind::HomeMoving))?;
-    resume::resume(tick, key, request.continuation.as_ref()).map_err(not_run)?;
+    resume::ensure_row(tick, key, request.continuation.as_ref()).map_err(not_run)?;
     let program = tick.tables.programs.get(key);
     let program = program.ok_or(not_run(RefusalKind::ProgramEnded))?;
     let carried = request.continuation.as_ref();
--- a/crates/core/src/systems/homes/release.rs
+++ b/crates/core/src/systems/homes/release.rs
@@ -1,18 +1,18 @@
 //! Release of the memory that engines hold for programs.
 
 use super::super::Tick;
-use super::retry_us;
+use super::backoff_us;
 use crate::ids::{PoolKey, ProgramKey, UpstreamName};
 use crate::output::{Decision, Output};
 use crate::tables::{MAX_SERVED, Release, Timer};
 
 /// Longest delay between two sends of a release.
-const RELEASE_RETRY_MS: u64 = 30_000;
+const MAX_RELEASE_BACKOFF_MS: u64 = 30_000;
 
 /// Records upstreams that may hold memory of a program.
 ///
 /// Above `MAX_SERVED` upstreams, the memory at the oldest one is released.
-pub(super) fn note(tick: &mut Tick<'_>, key: &ProgramKey, upstreams: &[UpstreamName]) {
+pub(super) fn record_upstreams(tick: &mut Tick<'_>, key: &ProgramKey, upstreams: &[UpstreamName]) {
     for upstream in upstreams {
         let Some(program) = tick.tables.programs.get_mut(key) else {
             return;
@@ -29,7 +29,7 @@
 }
 
 /// Records a pool in which an unknown upstream may hold memory of a program.
-pub(super) fn note_pool(tick: &mut Tick<'_>, key: &ProgramKey, pool: PoolKey) {
+pub(super) fn record_unknown_pool(tick: &mut Tick<'_>, key: &ProgramKey, pool: PoolKey) {
     if let Some(program) = tick.tables.programs.get_mut(key)
         && !program.unknown_pools.contains(&pool)
     {
@@ -89,7 +89,7 @@
         return;
     };
     *tries += 1;
-    let due_us = tick.now_us + retry_us(*tries + 2, RELEASE_RETRY_MS);
+    let due_us = tick.now_us + backoff_us(*tries + 2, MAX_RELEASE_BACKOFF_MS);
     tick.outputs.push(Output::ReleaseMemory {
         upstream: release.upstream.clone(),
         program: release.program.clone(),
--- a/crates/core/src/systems/homes/requests.rs
+++ b/crates/core/src/systems/homes/requests.rs
@@ -1,7 +1,7 @@
 //! Requests of callers for a permit or the end of a program, on the entry VM.
 
 use super::super::{Tick, admission};
-use super::{HOME_WAIT_MS, MOVING_RETRY_MS, retry_us, witness};
+use super::{HOME_TIMEOUT_MS, MOVING_RETRY_AFTER_MS, backoff_us, witness};
 use crate::ids::{CallId, ProgramKey};
 use crate::input::{Permit, ProgramRequest, ProgramRequestKind};
 use crate::message::{Denied, HomesMessage, PermitRequest};
@@ -9,10 +9,10 @@
 use crate::tables::{ProgramAsk, Timer};
 
 /// Longest delay between two sends of a request.
-const REQUEST_RETRY_MS: u64 = 1_000;
+const MAX_REQUEST_BACKOFF_MS: u64 = 1_000;
 
 /// Authenticates a request and sends it to the home.
-pub(super) fn arrive(tick: &mut Tick<'_>, request: ProgramRequest) {
+pub(super) fn submit(tick: &mut Tick<'_>, request: ProgramRequest) {
     let id = request.id;
     let account = match admission::find_account(tick, request.key.as_ref(), false) {
         Ok(Some(account)) => account,
@@ -42,7 +42,7 @@
         program,
         message,
         tries: 0,
-        give_up_us: tick.now_us + HOME_WAIT_MS * 1_000,
+        give_up_us: tick.now_us + HOME_TIMEOUT_MS * 1_000,
     };
     tick.tables.homes.requests.insert(id, pending);
     send(tick, id);
@@ -56,11 +56,16 @@
     };
     if now_us >= pending.give_up_us {
         tick.tables.homes.requests.remove(&id);
-        refuse(tick, id, RefusalKind::HomeMoving, Some(MOVING_RETRY_MS));
+        refuse(
+            tick,
+            id,
+            RefusalKind::HomeMoving,
+            Some(MOVING_RETRY_AFTER_MS),
+        );
         return;
     }
     pending.tries += 1;
-    let wait_us = retry_us(pending.tries, REQUEST_RETRY_MS);
+    let wait_us = backoff_us(pending.tries, MAX_REQUEST_BACKOFF_MS);
     let (message, program) = (pending.message.clone(), pending.program.clone());
     tick.tables
         .timers
@@ -71,24 +76,24 @@
 }
 
 /// Handles a permit issued by the home.
-pub(super) fn permit_is(tick: &mut Tick<'_>, request: CallId, permit: Box<Permit>) {
+pub(super) fn handle_permit(tick: &mut Tick<'_>, request: CallId, permit: Box<Permit>) {
     if tick.tables.homes.requests.remove(&request).is_some() {
         tick.outputs.push(Output::PermitIssued { request, permit });
     }
 }
 
 /// Handles the confirmation that a program has ended.
-pub(super) fn ended(tick: &mut Tick<'_>, request: CallId) {
+pub(super) fn handle_ended(tick: &mut Tick<'_>, request: CallId) {
     let Some(pending) = tick.tables.homes.requests.remove(&request) else {
         return;
     };
-    witness::note_end(tick, &pending.program);
+    witness::record_end(tick, &pending.program);
     tick.outputs.push(Output::ProgramEnded { request });
 }
 
 /// Handles a `Denied`: refuses the request, or leaves it to the next attempt while its program
 /// changes its home.
-pub(super) fn denied(tick: &mut Tick<'_>, denied: Denied) {
+pub(super) fn handle_denied(tick: &mut Tick<'_>, denied: Denied) {
     if denied.kind == RefusalKind::HomeMoving {
         return;
     }
--- a/crates/core/src/systems/homes/resume.rs
+++ b/crates/core/src/systems/homes/resume.rs
@@ -10,7 +10,7 @@
 ///
 /// If this VM has been the only home since the epoch of the continuation and has
 /// no row, the program is over.
-pub(super) fn resume(
+pub(super) fn ensure_row(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
     carried: Option<&Continuation>,
@@ -23,9 +23,9 @@
     }
     let exists = tick.tables.programs.contains_key(key);
     match carried {
-        Some(carried) if exists => forward(tick, key, carried, TakeoverSource::Continuation),
+        Some(carried) if exists => advance(tick, key, carried, TakeoverSource::Continuation),
         Some(carried) => {
-            if lifecycle::is_over(tick, key, carried.generation)
+            if lifecycle::has_tombstone(tick, key, carried.generation)
                 || takeover::was_home_since(tick, key, carried.epoch)
             {
                 return Err(RefusalKind::ProgramEnded);
@@ -53,11 +53,11 @@
     // Permits of this epoch may have been used with an earlier row on this VM.
     row.known_from = tick.tables.view.epoch.next();
     tree::insert(tick, key, row);
-    forward(tick, key, state, source);
+    advance(tick, key, state, source);
 }
 
 /// Advances a rebuilt row to a newer state.
-pub(super) fn forward(
+pub(super) fn advance(
     tick: &mut Tick<'_>,
     key: &ProgramKey,
     state: &Continuation,
--- a/crates/core/src/systems/homes/settles.rs
+++ b/crates/core/src/systems/homes/settles.rs
@@ -1,7 +1,7 @@
 //! Reporting of the end of a turn, on the entry VM.
 
 use super::super::{Tick, outcomes};
-use super::{HOME_WAIT_MS, retry_us, witness};
+use super::{HOME_TIMEOUT_MS, backoff_us, witness};
 use crate::ids::{CallId, HistoryDigest, ProgramKey, UpstreamName};
 use crate::input::{Continuation, Permit};
 use crate::message::{HomesMessage, RunningTurn, Settle};
@@ -10,7 +10,7 @@
 use smallvec::SmallVec;
 
 /// Longest delay between two sends of a `Settle`.
-const SETTLE_RETRY_MS: u64 = 2_000;
+const MAX_SETTLE_BACKOFF_MS: u64 = 2_000;
 
 /// Reports the end of a turn to the home and repeats the report until it is confirmed.
 pub(crate) fn end_turn(
@@ -27,7 +27,7 @@
         return;
     };
     let upstreams = upstreams_of(call);
-    witness::note_upstreams(tick, &program, &upstreams);
+    witness::record_upstreams(tick, &program, &upstreams);
     let settle = Settle {
         call: call.new.id,
         state: state_before(call, program),
@@ -96,8 +96,8 @@
         return;
     };
     pending.tries += 1;
-    let has_waited = now_us >= pending.since_us + HOME_WAIT_MS * 1_000;
-    let wait_us = retry_us(pending.tries, SETTLE_RETRY_MS);
+    let has_waited = now_us >= pending.since_us + HOME_TIMEOUT_MS * 1_000;
+    let wait_us = backoff_us(pending.tries, MAX_SETTLE_BACKOFF_MS);
     let settle = pending.settle.clone();
     tick.tables
         .timers
@@ -117,7 +117,7 @@
 }
 
 /// Handles the confirmation of a `Settle` and answers the call.
-pub(super) fn settled(
+pub(super) fn handle_settled(
     tick: &mut Tick<'_>,
     id: CallId,
     continuation: Option<Box<Continuation>>,
@@ -127,7 +127,7 @@
         return;
     }
     if let Some(state) = &continuation {
-        witness::note(tick, (**state).clone());
+        witness::record_state(tick, (**state).clone());
     }
     answer(tick, id, continuation.map(|c| *c), permit.map(|p| *p));
 }
--- a/crates/core/src/systems/homes/takeover.rs
+++ b/crates/core/src/systems/homes/takeover.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::super::Tick;
-use super::{MOVING_RETRY_MS, home, lifecycle, release, transfers, tree, waits, witness};
+use super::{MOVING_RETRY_AFTER_MS, home, lifecycle, release, transfers, tree, waits, witness};
 use crate::ids::{Epoch, Incarnation, ProgramKey, UpstreamName, VmName};
 use crate::message::{HandOver, HandedProgram, HomesMessage};
 use crate::output::{Decision, TakeoverSource};
@@ -15,19 +15,19 @@
 const MAX_PAST_VIEWS: usize = 32;
 
 /// Programs per message, which keeps it far below the limit of 256 KB.
-const BATCH: usize = 64;
+const MAX_PROGRAMS_PER_MESSAGE: usize = 64;
 
 /// A member by name, incarnation and the epoch in which it joined.
-type HomeOf<'a> = (&'a VmName, Incarnation, Epoch);
+type MemberIdentity<'a> = (&'a VmName, Incarnation, Epoch);
 
 /// Returns the home of a program in a view.
-pub(super) fn home_in<'a>(view: &'a View, key: &ProgramKey) -> Option<HomeOf<'a>> {
+pub(super) fn home_in<'a>(view: &'a View, key: &ProgramKey) -> Option<MemberIdentity<'a>> {
     let member = view.member(view.program_home(key)?)?;
     Some((&member.vm, member.incarnation, member.joined))
 }
 
 /// Returns the identity of this VM in a view, if it is a member with its present incarnation.
-fn self_in<'a>(tick: &Tick<'_>, view: &'a View) -> Option<HomeOf<'a>> {
+fn own_identity_in<'a>(tick: &Tick<'_>, view: &'a View) -> Option<MemberIdentity<'a>> {
     let settings = tick.settings;
     let member = view.member_at(&settings.vm, settings.incarnation)?;
     Some((&member.vm, member.incarnation, member.joined))
@@ -35,7 +35,7 @@
 
 /// Returns whether a view names this VM, with its present membership, as the home of a program.
 fn is_home_in(tick: &Tick<'_>, view: &View, key: &ProgramKey) -> bool {
-    let me = self_in(tick, &tick.tables.view);
+    let me = own_identity_in(tick, &tick.tables.view);
     me.is_some() && home_in(view, key) == me
 }
 
@@ -56,11 +56,11 @@
 pub(super) fn check_home(tick: &Tick<'_>, key: &ProgramKey) -> Result<(), u64> {
     let (now_us, tables) = (tick.now_us, &*tick.tables);
     if !tables.lease.is_valid(now_us) {
-        return Err(MOVING_RETRY_MS);
+        return Err(MOVING_RETRY_AFTER_MS);
     }
     let from_us = tables.acts_from_us(tick.settings, |view| view.program_home(key));
     match from_us {
-        None => Err(MOVING_RETRY_MS),
+        None => Err(MOVING_RETRY_AFTER_MS),
         Some(from_us) if from_us <= now_us || was_handed_over(tick, key) => Ok(()),
         Some(from_us) => Err((from_us - now_us).div_ceil(1_000)),
     }
@@ -106,7 +106,7 @@
 /// Moves programs to their new homes after a change of the view.
 ///
 /// This is the only place that iterates over all programs and all calls.
-pub(super) fn follow_view(tick: &mut Tick<'_>) {
+pub(super) fn apply_view_change(tick: &mut Tick<'_>) {
     if tick.tables.view.epoch == tick.tables.homes.view.epoch {
         return;
     }
@@ -118,9 +118,9 @@
         past.push_front(old.clone());
         past.truncate(MAX_PAST_VIEWS);
     }
-    witness::push(tick, &old, &new);
+    witness::send_moved(tick, &old, &new);
     hand_over(tick, &old, &new);
-    let (old_identity, new_identity) = (self_in(tick, &old), self_in(tick, &new));
+    let (old_identity, new_identity) = (own_identity_in(tick, &old), own_identity_in(tick, &new));
     let has_rejoined = new_identity.is_some() && old_identity != new_identity;
     let keys: Vec<ProgramKey> = tick
         .tables
@@ -130,14 +130,14 @@
         .collect();
     for key in keys {
         if has_rejoined {
-            distrust(tick, &key);
+            mark_recovered(tick, &key);
         }
-        home::lose_departed(tick, &key);
+        home::mark_departed_unknown(tick, &key);
     }
 }
 
 /// Marks a row as recovered: another home may have run turns while this VM was not a member.
-fn distrust(tick: &mut Tick<'_>, key: &ProgramKey) {
+fn mark_recovered(tick: &mut Tick<'_>, key: &ProgramKey) {
     let epoch = tick.tables.view.epoch.next();
     if let Some(program) = tick.tables.programs.get_mut(key) {
         program.is_recovered = true;
@@ -151,10 +151,10 @@
 /// programs, so that they need not sit out the takeover wait.
 fn hand_over(tick: &mut Tick<'_>, old: &View, new: &View) {
     let me = tick.settings.vm.clone();
-    if self_in(tick, old).is_none() {
+    if own_identity_in(tick, old).is_none() {
         return;
     }
-    let is_leaving = self_in(tick, new).is_none();
+    let is_leaving = own_identity_in(tick, new).is_none();
     let mut by_home: BTreeMap<VmName, Vec<HandedProgram>> = new
         .members
         .iter()
@@ -165,19 +165,19 @@
         })
         .map(|member| (member.vm.clone(), Vec::new()))
         .collect();
-    for (home, handed) in take_moved(tick, new) {
+    for (home, handed) in remove_moved(tick, new) {
         by_home.entry(home).or_default().push(handed);
     }
-    let mut releases = take_releases(tick, new, is_leaving);
+    let mut releases = collect_releases(tick, new, is_leaving);
     for (home, mut handed) in by_home {
         handed.sort_by(|a, b| a.key.cmp(&b.key));
         let releases = releases.remove(&home).unwrap_or_default();
-        send_handed(tick, &home, new.epoch, &handed, releases);
+        send_hand_over(tick, &home, new.epoch, &handed, releases);
     }
 }
 
 /// Removes and returns the programs whose home is now another VM.
-fn take_moved(tick: &mut Tick<'_>, new: &View) -> Vec<(VmName, HandedProgram)> {
+fn remove_moved(tick: &mut Tick<'_>, new: &View) -> Vec<(VmName, HandedProgram)> {
     let moved: Vec<(ProgramKey, VmName)> = tick
         .tables
         .programs
@@ -198,7 +198,7 @@
 }
 
 /// Returns the unconfirmed releases of a leaving VM, by the new home of their program.
-fn take_releases(
+fn collect_releases(
     tick: &mut Tick<'_>,
     new: &View,
     is_leaving: bool,
@@ -219,7 +219,7 @@
 }
 
 /// Sends a hand-over to a new home, in as many messages as the programs need.
-fn send_handed(
+fn send_hand_over(
     tick: &mut Tick<'_>,
     to: &VmName,
     epoch: Epoch,
@@ -229,11 +229,11 @@
     let batches: Vec<&[HandedProgram]> = if handed.is_empty() {
         vec![&[]]
     } else {
-        handed.chunks(BATCH).collect()
+        handed.chunks(MAX_PROGRAMS_PER_MESSAGE).collect()
     };
     let messages = batches.len() as u32;
-    let wait_us = own_wait_us(tick);
-    if self_in(tick, &tick.tables.view).is_none() {
+    let wait_us = remaining_wait_us(tick);
+    if own_identity_in(tick, &tick.tables.view).is_none() {
         tick.tables.membership.departure.open_hand_overs += messages;
     }
     for (number, batch) in batches.into_iter().enumerate() {
@@ -260,17 +260,17 @@
 ///
 /// It may have gained programs from members that were removed, and from every
 /// other member when it joined.
-fn own_wait_us(tick: &Tick<'_>) -> u64 {
+fn remaining_wait_us(tick: &Tick<'_>) -> u64 {
     let membership = &tick.tables.membership;
     let past_views = &membership.past_views;
     let mut ready_us = match past_views.front() {
-        Some(first) if !membership.is_founder && self_in(tick, &first.view).is_some() => {
+        Some(first) if !membership.is_founder && own_identity_in(tick, &first.view).is_some() => {
             first.since_us + tick.settings.takeover_wait_us()
         }
         _ => 0,
     };
     for (before, after) in past_views.iter().zip(past_views.iter().skip(1)) {
-        let has_joined = self_in(tick, &before.view) != self_in(tick, &after.view);
+        let has_joined = own_identity_in(tick, &before.view) != own_identity_in(tick, &after.view);
         let removed = before.view.members_not_in(&after.view);
         let earlier = if has_joined {
             &before.view.members
@@ -278,7 +278,7 @@
             &removed
         };
         for member in earlier.iter().filter(|row| row.vm != tick.settings.vm) {
-            let until_us = let_go_us(tick, &member.vm, after.view.epoch);
+            let until_us = hand_over_effective_us(tick, &member.vm, after.view.epoch);
             let until_us = until_us.unwrap_or(after.since_us + tick.settings.takeover_wait_us());
             ready_us = ready_us.max(until_us);
         }
@@ -287,7 +287,7 @@
 }
 
 /// Returns when the complete hand-over of a VM takes effect, if it is of this epoch or later.
-fn let_go_us(tick: &Tick<'_>, vm: &VmName, epoch: Epoch) -> Option<u64> {
+fn hand_over_effective_us(tick: &Tick<'_>, vm: &VmName, epoch: Epoch) -> Option<u64> {
     let handed = tick.tables.homes.handed_over.get(vm)?;
     handed.from_us.filter(|_| handed.epoch >= epoch)
 }
@@ -295,7 +295,7 @@
 /// Handles the confirmation of a transfer.
 ///
 /// A leaving VM counts its open hand-overs and goes on with its departure as they are confirmed.
-pub(super) fn received(tick: &mut Tick<'_>, transfer: u64) {
+pub(super) fn handle_received(tick: &mut Tick<'_>, transfer: u64) {
     let Some(transfer) = tick.tables.homes.transfers.remove(&transfer) else {
         return;
     };
@@ -307,7 +307,7 @@
 }
 
 /// Installs the programs that their previous home hands over.
-pub(super) fn receive(tick: &mut Tick<'_>, vm: &VmName, handed: HandOver) {
+pub(super) fn handle_hand_over(tick: &mut Tick<'_>, vm: &VmName, handed: HandOver) {
     if handed.epoch > tick.tables.view.epoch {
         // This VM has not seen the view that moves the programs here; the sender retries.
         return;
@@ -316,13 +316,13 @@
     tick.send(vm, HomesMessage::Received { transfer });
     for program in handed.programs {
         if is_home_in(tick, &tick.tables.view, &program.key) {
-            install(tick, program);
+            install_row(tick, program);
         }
     }
     for release in handed.releases {
         release::release(tick, release.upstream, release.program, release.generation);
     }
-    note_handed_over(
+    record_hand_over(
         tick,
         vm,
         transfer,
@@ -333,7 +333,7 @@
 }
 
 /// Records one message of a hand-over; the last one replaces the takeover wait by `wait_us`.
-fn note_handed_over(
+fn record_hand_over(
     tick: &mut Tick<'_>,
     vm: &VmName,
     transfer: u64,
@@ -364,7 +364,7 @@
 ///
 /// The present row stays if it was not rebuilt, if it is newer or if this VM may
 /// already act on it; the handed-over row is then merged into it.
-fn install(tick: &mut Tick<'_>, handed: HandedProgram) {
+fn install_row(tick: &mut Tick<'_>, handed: HandedProgram) {
     let HandedProgram { key, row, now_us } = handed;
     let is_waiting = check_home(tick, &key).is_err();
     let present = tick.tables.programs.get(&key);
@@ -375,10 +375,10 @@
         let is_newer = present.generation == row.generation && present.turn > row.turn;
         !is_waiting || !present.is_recovered || is_newer
     });
-    if keeps_present || lifecycle::is_over(tick, &key, row.generation) {
-        return merge(tick, &key, &row);
+    if keeps_present || lifecycle::has_tombstone(tick, &key, row.generation) {
+        return merge_row(tick, &key, &row);
     }
-    let mut row = rebase(row, now_us, tick.now_us);
+    let mut row = rebase_times(row, now_us, tick.now_us);
     if !is_waiting {
         // Homes between the previous one and this one may have run turns.
         row.is_recovered = true;
@@ -392,20 +392,20 @@
         }
         None => tree::insert(tick, &key, row),
     }
-    release::note(tick, &key, &known_upstreams);
+    release::record_upstreams(tick, &key, &known_upstreams);
     let turn = tick.tables.programs.get(&key).map_or(0, |row| row.turn);
     tick.decide(Decision::ProgramTakenOver {
         program: key.clone(),
         turn,
         source: TakeoverSource::HandOver,
     });
-    home::resume_turn(tick, &key);
+    home::monitor_turn(tick, &key);
 }
 
 /// Merges the usage and engine memory of a handed-over row into the present row.
 ///
 /// If the present row has another generation, the memory is released instead.
-fn merge(tick: &mut Tick<'_>, key: &ProgramKey, handed: &Program) {
+fn merge_row(tick: &mut Tick<'_>, key: &ProgramKey, handed: &Program) {
     let present = tick.tables.programs.get_mut(key);
     let Some(present) = present.filter(|row| row.generation == handed.generation) else {
         for upstream in &handed.served {
@@ -415,14 +415,14 @@
     };
     let spent_tokens = &mut present.usage.spent_tokens;
     *spent_tokens = (*spent_tokens).max(handed.usage.spent_tokens);
-    release::note(tick, key, &handed.served);
+    release::record_upstreams(tick, key, &handed.served);
     for pool in &handed.unknown_pools {
-        release::note_pool(tick, key, pool.clone());
+        release::record_unknown_pool(tick, key, pool.clone());
     }
 }
 
 /// Converts the times of a row to the clock of this VM and clears state that is local to a home.
-fn rebase(mut row: Program, from_us: u64, to_us: u64) -> Program {
+fn rebase_times(mut row: Program, from_us: u64, to_us: u64) -> Program {
     let rebased = |at_us: u64| (at_us + to_us).saturating_sub(from_us);
     row.started_us = rebased(row.started_us);
     row.lease_until_us = rebased(row.lease_until_us);
--- a/crates/core/src/systems/homes/transfers.rs
+++ b/crates/core/src/systems/homes/transfers.rs
@@ -1,13 +1,13 @@
 //! Reliable delivery of program state to new homes.
 
 use super::super::Tick;
-use super::retry_us;
+use super::backoff_us;
 use crate::ids::VmName;
 use crate::message::HomesMessage;
 use crate::tables::{Timer, Transfer};
 
 /// Longest delay between two sends of a transfer.
-const TRANSFER_RETRY_MS: u64 = 1_000;
+const MAX_TRANSFER_BACKOFF_MS: u64 = 1_000;
 
 /// Number of sends before a transfer is abandoned; by then the takeover wait has long passed.
 const MAX_TRIES: u32 = 30;
@@ -43,7 +43,7 @@
         return;
     }
     let (to, message) = (transfer.to.clone(), transfer.message.clone());
-    let due_us = now_us + retry_us(transfer.tries, TRANSFER_RETRY_MS);
+    let due_us = now_us + backoff_us(transfer.tries, MAX_TRANSFER_BACKOFF_MS);
     tick.tables.timers.set(due_us, Timer::TransferRetry(number));
     tick.send(&to, message);
 }
--- a/crates/core/src/systems/homes/tree.rs
+++ b/crates/core/src/systems/homes/tree.rs
@@ -136,7 +136,7 @@
 }
 
 /// Renews the lease of a program and of its root.
-pub(super) fn renew(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn renew_lease(tick: &mut Tick<'_>, key: &ProgramKey) {
     let until_us = tick.now_us + tick.settings.program_lease_ms * 1_000;
     for key in [key, &key.root()] {
         if let Some(row) = tick.tables.programs.get_mut(key) {
@@ -146,7 +146,7 @@
 }
 
 /// Builds the continuation that a caller presents with its next turn.
-pub(super) fn state_of(tick: &Tick<'_>, key: &ProgramKey) -> Option<Continuation> {
+pub(super) fn build_continuation(tick: &Tick<'_>, key: &ProgramKey) -> Option<Continuation> {
     let row = tick.tables.programs.get(key)?;
     let root = tick.tables.programs.get(&key.root()).unwrap_or(row);
     Some(Continuation {
--- a/crates/core/src/systems/homes/waits.rs
+++ b/crates/core/src/systems/homes/waits.rs
@@ -72,9 +72,9 @@
 }
 
 /// Decides again about all waiting calls of a program after its state has changed.
-pub(super) fn recheck(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn reevaluate(tick: &mut Tick<'_>, key: &ProgramKey) {
     for wait in take_all(tick, key) {
-        home::begin(tick, &wait.vm, wait.begin);
+        home::handle_begin(tick, &wait.vm, wait.begin);
     }
 }
 
@@ -90,9 +90,9 @@
     let key = &wait.begin.program;
     let program = tick.tables.programs.get(key);
     let ran = program.map_or(Execution::NotRun, |program| {
-        order::earlier_run(tick, program, &wait.begin)
+        order::prior_execution(tick, program, &wait.begin)
     });
     let kind = RefusalKind::TurnOutOfOrder;
     home::deny(tick, &wait.vm, &wait.begin, kind, ran, None);
-    super::lifecycle::drop_unused(tick, key);
+    super::lifecycle::remove_if_unused(tick, key);
 }
--- a/crates/core/src/systems/homes/witness.rs
+++ b/crates/core/src/systems/homes/witness.rs
@@ -13,10 +13,10 @@
 use crate::tables::{KeptWitness, Stage, Timer, View};
 
 /// Witnesses per message, which keeps it far below the limit of 256 KB.
-const BATCH: usize = 128;
+const MAX_WITNESSES_PER_MESSAGE: usize = 128;
 
 /// Records the state of a program as sent by its home.
-pub(super) fn note(tick: &mut Tick<'_>, state: Continuation) {
+pub(super) fn record_state(tick: &mut Tick<'_>, state: Continuation) {
     let now_us = tick.now_us;
     let key = state.program.clone();
     let record = tick.tables.homes.witnesses.get_mut(&key);
@@ -54,19 +54,19 @@
 ///
 /// If the home that issued it is cut off, the next home needs it: it must not run an earlier
 /// turn again for a call that waits at another VM.
-pub(super) fn note_carried(tick: &mut Tick<'_>, state: &Continuation) {
+pub(super) fn record_carried_state(tick: &mut Tick<'_>, state: &Continuation) {
     let record = tick.tables.homes.witnesses.get(&state.program);
     let is_new = record.is_none_or(|record| {
         let known = &record.witness.state;
         known.generation == state.generation && known.turn < state.turn
     });
     if is_new {
-        note(tick, state.clone());
+        record_state(tick, state.clone());
     }
 }
 
 /// Records upstreams that may hold memory of a program.
-pub(super) fn note_upstreams(tick: &mut Tick<'_>, key: &ProgramKey, upstreams: &[UpstreamName]) {
+pub(super) fn record_upstreams(tick: &mut Tick<'_>, key: &ProgramKey, upstreams: &[UpstreamName]) {
     let Some(record) = tick.tables.homes.witnesses.get_mut(key) else {
         return;
     };
@@ -78,14 +78,14 @@
 }
 
 /// Records that the caller ended a program through this VM.
-pub(super) fn note_end(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn record_end(tick: &mut Tick<'_>, key: &ProgramKey) {
     if let Some(record) = tick.tables.homes.witnesses.get_mut(key) {
         record.witness.is_ended = true;
     }
 }
 
 /// Removes the witness of a program that this VM has not served for the length of a lease.
-pub(super) fn forget(tick: &mut Tick<'_>, key: &ProgramKey) {
+pub(super) fn expire_record(tick: &mut Tick<'_>, key: &ProgramKey) {
     let Some(record) = tick.tables.homes.witnesses.get(key) else {
         return;
     };
@@ -99,11 +99,11 @@
 }
 
 /// Sends the witnesses of programs whose home has changed to their new homes.
-pub(super) fn push(tick: &mut Tick<'_>, old: &View, new: &View) {
+pub(super) fn send_moved(tick: &mut Tick<'_>, old: &View, new: &View) {
     let mut by_home: BTreeMap<VmName, Vec<Witness>> = BTreeMap::new();
-    for witness in moved(tick, old, new)
+    for witness in moved_witnesses(tick, old, new)
         .into_iter()
-        .chain(over(tick, old, new))
+        .chain(tombstone_witnesses(tick, old, new))
     {
         if let Some(home) = new.program_home(&witness.state.program) {
             by_home.entry(home.clone()).or_default().push(witness);
@@ -113,7 +113,7 @@
     for (home, mut witnesses) in by_home {
         // Puts roots before their sub-agents and makes the order deterministic.
         witnesses.sort_by(|a, b| a.state.program.cmp(&b.state.program));
-        for batch in witnesses.chunks(BATCH) {
+        for batch in witnesses.chunks(MAX_WITNESSES_PER_MESSAGE) {
             transfers::start(tick, home.clone(), |transfer| HomesMessage::Witness {
                 transfer,
                 epoch,
@@ -124,7 +124,7 @@
 }
 
 /// Returns the witnesses of programs whose home has changed, with their turns in progress.
-fn moved(tick: &Tick<'_>, old: &View, new: &View) -> Vec<Witness> {
+fn moved_witnesses(tick: &Tick<'_>, old: &View, new: &View) -> Vec<Witness> {
     let mut running = running_turns(tick);
     tick.tables
         .homes
@@ -144,7 +144,7 @@
 }
 
 /// Returns witnesses that mark the ended programs of this VM as ended at their new homes.
-fn over(tick: &Tick<'_>, old: &View, new: &View) -> Vec<Witness> {
+fn tombstone_witnesses(tick: &Tick<'_>, old: &View, new: &View) -> Vec<Witness> {
     let tombstones = tick.tables.homes.over.iter();
     tombstones
         .filter(|(key, _)| takeover::home_in(old, key) != takeover::home_in(new, key))
@@ -191,7 +191,7 @@
 ///
 /// Witnesses of a view that this VM has not seen yet are not confirmed: it
 /// cannot tell which of the programs move here, and the sender retries.
-pub(super) fn receive(
+pub(super) fn handle_witnesses(
     tick: &mut Tick<'_>,
     vm: &VmName,
     transfer: u64,
@@ -204,27 +204,27 @@
     for witness in witnesses {
         let key = &witness.state.program;
         if tick.tables.view.program_home(key) == Some(&tick.settings.vm) {
-            take(tick, vm, &witness);
+            apply(tick, vm, &witness);
         }
     }
     tick.send(vm, HomesMessage::Received { transfer });
 }
 
 /// Returns whether the program of a state is known to be over, given that it has no row.
-fn is_gone(tick: &Tick<'_>, key: &ProgramKey, state: &Continuation) -> bool {
-    lifecycle::is_over(tick, key, state.generation)
+fn has_ended(tick: &Tick<'_>, key: &ProgramKey, state: &Continuation) -> bool {
+    lifecycle::has_tombstone(tick, key, state.generation)
         || takeover::was_home_since(tick, key, state.epoch)
 }
 
 /// Updates or rebuilds the row of a program from a witness.
-fn take(tick: &mut Tick<'_>, vm: &VmName, witness: &Witness) {
+fn apply(tick: &mut Tick<'_>, vm: &VmName, witness: &Witness) {
     let (key, state) = (&witness.state.program, &witness.state);
     let mut state = state.clone();
     state.age_ms += witness.idle_ms;
     let source = TakeoverSource::Witness;
     if tick.tables.programs.contains_key(key) {
-        resume::forward(tick, key, &state, source);
-    } else if !is_gone(tick, key, &state) {
+        resume::advance(tick, key, &state, source);
+    } else if !has_ended(tick, key, &state) {
         resume::rebuild(tick, key, &state, source);
     }
     let program = tick.tables.programs.get(key);
@@ -236,11 +236,11 @@
         return;
     }
     resume::raise_usage(tick, key, &state, 0);
-    release::note(tick, key, &witness.upstreams);
+    release::record_upstreams(tick, key, &witness.upstreams);
     for running in &witness.running {
         home::adopt_turn(tick, key, vm, state.generation, running);
     }
     if witness.is_ended {
-        lifecycle::over(tick, key, OverReason::Ended);
+        lifecycle::close(tick, key, OverReason::Ended);
     }
 }
--- a/crates/core/src/systems/intake/mod.rs
+++ b/crates/core/src/systems/intake/mod.rs
@@ -10,8 +10,8 @@
 /// Dispatches the inputs of a tick; drops messages from before a restart of their sender.
 pub(crate) fn run(tick: &mut Tick<'_>, inputs: impl IntoIterator<Item = Input>) {
     for input in inputs {
-        if !is_from_former_start(tick, &input) {
-            sort(tick.work, tick.settings.coordination, input);
+        if !is_from_previous_incarnation(tick, &input) {
+            dispatch(tick.work, tick.settings.coordination, input);
         }
     }
 }
@@ -19,7 +19,7 @@
 /// Returns whether an input is a message from a previous incarnation of its sender.
 ///
 /// Records the newest incarnation of each sender.
-fn is_from_former_start(tick: &mut Tick<'_>, input: &Input) -> bool {
+fn is_from_previous_incarnation(tick: &mut Tick<'_>, input: &Input) -> bool {
     let Input::Peer {
         from, incarnation, ..
     } = input
@@ -44,7 +44,7 @@
 }
 
 /// Adds an input to the work list of its system.
-fn sort(work: &mut Work, coordination: Coordination, input: Input) {
+fn dispatch(work: &mut Work, coordination: Coordination, input: Input) {
     match input {
         Input::CallArrived(call) => work.admission.arrived.push(*call),
         Input::Program(request) => work.homes.requests.push(*request),
@@ -52,7 +52,7 @@
             upstream,
             program,
             generation,
-        } => work.homes.released.push(Release {
+        } => work.homes.confirmed_releases.push(Release {
             upstream,
             program,
             generation,
@@ -63,7 +63,7 @@
             from,
             incarnation,
             message,
-        } => route(
+        } => route_message(
             work,
             Sender {
                 vm: from,
@@ -107,7 +107,7 @@
 }
 
 /// Adds a message to the work list of its system.
-pub(crate) fn route(work: &mut Work, sender: Sender, message: PeerMessage) {
+pub(crate) fn route_message(work: &mut Work, sender: Sender, message: PeerMessage) {
     match message {
         PeerMessage::Membership(message) => work.membership.messages.push((sender, message)),
         PeerMessage::Rates(message) => work.rates.messages.push((sender, message)),
--- a/crates/core/src/systems/mod.rs
+++ b/crates/core/src/systems/mod.rs
@@ -90,7 +90,7 @@
                 vm: self.settings.vm.clone(),
                 incarnation: self.settings.incarnation,
             };
-            intake::route(self.work, sender, message);
+            intake::route_message(self.work, sender, message);
             return;
         }
         self.outputs.push(Output::Send {
