--- a/crates/core/src/systems/outcomes/mod.rs
+++ b/crates/core/src/systems/outcomes/mod.rs
@@ -42,8 +42,8 @@
     for timer in work.due_timers {
         match timer {
             Timer::CrashVerdict(upstream) => suspects::handle_probe_timeout(tick, &upstream),
-            Timer::SuspectIdle(digest) => suspects::expire(tick, digest),
-            Timer::QuarantineEnd(digest) => quarantine::expire(tick, digest),
+            Timer::SuspectIdle(digest) => suspects::expire_suspect(tick, digest),
+            Timer::QuarantineEnd(digest) => quarantine::expire_quarantine(tick, digest),
             _ => {}
         }
     }
--- a/crates/core/src/systems/outcomes/quarantine.rs
+++ b/crates/core/src/systems/outcomes/quarantine.rs
@@ -43,7 +43,7 @@
 }
 
 /// Ends a quarantine that has run out; the content must still run alone.
-pub(super) fn expire(tick: &mut Tick<'_>, digest: ContentDigest) {
+pub(super) fn expire_quarantine(tick: &mut Tick<'_>, digest: ContentDigest) {
     let row = tick.tables.quarantine.get(&digest);
     if row.is_none_or(|row| row.until_us > tick.now_us) {
         return;
--- a/crates/core/src/systems/outcomes/suspects.rs
+++ b/crates/core/src/systems/outcomes/suspects.rs
@@ -248,7 +248,7 @@
 }
 
 /// Removes a suspect whose retention time is over and that no longer runs.
-pub(super) fn expire(tick: &mut Tick<'_>, digest: ContentDigest) {
+pub(super) fn expire_suspect(tick: &mut Tick<'_>, digest: ContentDigest) {
     let Some(suspect) = tick.tables.suspects.get(&digest) else {
         return;
     };
--- a/crates/core/src/systems/placement/hints.rs
+++ b/crates/core/src/systems/placement/hints.rs
@@ -118,7 +118,7 @@
 }
 
 /// Removes the footprint of a program that has had no calls for a program lease.
-pub(super) fn expire(tick: &mut Tick<'_>, program: ProgramKey) {
+pub(super) fn expire_history(tick: &mut Tick<'_>, program: ProgramKey) {
     let Some(row) = tick.tables.footprints.get(&program) else {
         return;
     };
--- a/crates/core/src/systems/placement/mod.rs
+++ b/crates/core/src/systems/placement/mod.rs
@@ -76,7 +76,7 @@
         Timer::QueueAge(pool, attempt) => owner::requeue_aged(tick, &pool, attempt),
         Timer::RunningCheck(attempt) => owner::check_running(tick, attempt),
         Timer::UpstreamReady(upstream) => refresh_and_assign(tick, &upstream),
-        Timer::FootprintIdle(program) => hints::expire(tick, program),
+        Timer::FootprintIdle(program) => hints::expire_history(tick, program),
         _ => {}
     }
 }
