--- a/crates/core/src/systems/outcomes/suspects.rs
+++ b/crates/core/src/systems/outcomes/suspects.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Concludes that an upstream crashed if its probe got no answer.
+/// Concludes that an upstream crashed because its probe got no answer in time.
 pub(super) fn handle_probe_timeout(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     conclude_crash(tick, upstream, CrashEvidence::ProbeSilent);
 }
--- a/crates/core/src/systems/placement/availability.rs
+++ b/crates/core/src/systems/placement/availability.rs
@@ -1,11 +1,11 @@
-//! Keeps the open sets of pools up to date and assigns waiting calls to free upstreams.
+//! Tracks which upstreams of each pool have room and assigns waiting calls to them.
 
 use super::super::Tick;
 use super::{owner, queue_order};
 use crate::ids::{ContentDigest, PoolKey, UpstreamName};
 use crate::tables::Waiting;
 
-/// Updates the entries of an upstream in the open sets of its pools from its current load.
+/// Updates an upstream in the sets of available upstreams of its pools from its current load.
 pub(crate) fn refresh_availability(tick: &mut Tick<'_>, upstream: &UpstreamName) {
     let is_learned = tick.settings.policy.learned_limit;
     let tables = &mut *tick.tables;
--- a/crates/core/src/systems/placement/entry.rs
+++ b/crates/core/src/systems/placement/entry.rs
@@ -152,9 +152,9 @@
     send_place(tick, attempt.call);
 }
 
-/// Places a call without its owner, on the usable upstream with the fewest calls of this VM.
+/// Places a call without the pool owner, on the usable upstream with the fewest calls of this VM.
 ///
-/// Scans the whole pool, but only for calls whose owner has failed.
+/// Scans the whole pool, which happens only for calls whose owner has failed.
 fn place_locally(tick: &mut Tick<'_>, attempt: AttemptId) -> bool {
     let Some(call) = tick.tables.calls.get(&attempt.call) else {
         return false;
@@ -307,7 +307,7 @@
     call.stage = Stage::Running;
     call.upstream = Some(upstream.clone());
     call.place.dispatched_us = tick.now_us;
-    let order = Dispatch {
+    let dispatch = Dispatch {
         attempt,
         upstream: upstream.clone(),
         address: row.address.clone(),
@@ -328,7 +328,7 @@
         reason,
         runners_up,
     };
-    tick.outputs.push(Output::Dispatch(order));
+    tick.outputs.push(Output::Dispatch(dispatch));
     tick.decide(decision);
 }
 
@@ -411,7 +411,7 @@
     admission::refuse(tick, attempt.call, kind, ran, Some(1_000));
 }
 
-/// Refuses a call that the owner of the pool declined to place.
+/// Refuses a call that the pool owner declined to place.
 pub(super) fn handle_unplaced(tick: &mut Tick<'_>, attempt: AttemptId, kind: RefusalKind) {
     if !is_waiting(tick, attempt) {
         return;
--- a/crates/core/src/systems/placement/exclusive.rs
+++ b/crates/core/src/systems/placement/exclusive.rs
@@ -21,8 +21,8 @@
 
 /// Removes and returns the first exclusive call if a reserved upstream is idle.
 ///
-/// Reserves another upstream if needed. Calls in front of it that are
-/// quarantined, held or no longer suspect are refused or moved.
+/// Reserves another upstream if needed. Calls in front that are quarantined
+/// are refused; those that must be held or are no longer suspect are moved.
 fn take_ready(tick: &mut Tick<'_>, pool: &PoolKey) -> Option<Waiting> {
     let row = tick.tables.pools.get(pool)?;
     let waiting = row.alone.front()?;
--- a/crates/core/src/systems/placement/hints.rs
+++ b/crates/core/src/systems/placement/hints.rs
@@ -85,7 +85,7 @@
     row.attained_tokens = row.attained_tokens.max(place.spent_tokens);
 }
 
-/// Updates an upstream's hint trust from the tokens that it found in its cache.
+/// Updates the hint accuracy of an upstream from the tokens that it found in its cache.
 fn update_hint_accuracy(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     // Upstreams of relayed calls do not report cached tokens.
     let is_reported = tick.settings.coordination == Coordination::Owners;
--- a/crates/core/src/systems/placement/mod.rs
+++ b/crates/core/src/systems/placement/mod.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Processes the collected input, changes of the configuration and the view first.
+/// Processes the collected input, starting with changes of the configuration and the view.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.placement);
     if work.config_changed {
--- a/crates/core/src/systems/placement/owner.rs
+++ b/crates/core/src/systems/placement/owner.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Queues a call again whose age now ranks it at the front of its account.
+/// Requeues a call that has waited long enough to rank first in its account.
 pub(super) fn requeue_aged(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     let row = tick.tables.pools.get_mut(pool);
     if let Some(waiting) = row.and_then(|row| row.queue.remove(attempt)) {
@@ -106,7 +106,9 @@
     while assign_next(tick, pool) {}
 }
 
-/// Takes the first call that can be decided out of the queue; returns whether there was one.
+/// Removes the first queued call that can be assigned, refused or diverted, and does so.
+///
+/// Returns whether there was one.
 fn assign_next(tick: &mut Tick<'_>, pool: &PoolKey) -> bool {
     let Some(row) = tick.tables.pools.get(pool) else {
         return false;
@@ -122,13 +124,13 @@
         let Some(waiting) = row.and_then(|row| row.queue.get(&attempt)) else {
             continue;
         };
-        let choice = selection::select_upstream(tick, pool, waiting);
-        if matches!(choice, Selection::Wait) {
+        let selection = selection::select_upstream(tick, pool, waiting);
+        if matches!(selection, Selection::Wait) {
             continue;
         }
         let row = tick.tables.pools.get_mut(pool);
         let waiting = row.and_then(|row| row.queue.remove(attempt));
-        match (choice, waiting) {
+        match (selection, waiting) {
             (Selection::Assign(chosen), Some(waiting)) => place(tick, waiting, chosen, false),
             (_, Some(waiting)) => refuse(tick, waiting, RefusalKind::UpstreamFailed),
             (_, None) => {}
@@ -138,9 +140,9 @@
     false
 }
 
-/// Takes a call out of the queue if its content is quarantined, held or must run alone.
+/// Removes a call from the queue if its content is quarantined, held or must run alone.
 ///
-/// Returns whether it did.
+/// Returns whether the call was removed.
 fn divert_suspect(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) -> bool {
     if tick.tables.suspects.is_empty() && tick.tables.quarantine.is_empty() {
         return false;
--- a/crates/core/src/systems/placement/reconfigure.rs
+++ b/crates/core/src/systems/placement/reconfigure.rs
@@ -8,10 +8,10 @@
 use crate::message::{InFlight, PlacementMessage};
 use crate::tables::{Running, Stage};
 
-/// Keeps a message under the size limit of messages between VMs.
+/// Most attempts in one message, which keeps it under the size limit of messages between VMs.
 const MAX_ATTEMPTS_PER_MESSAGE: usize = 500;
 
-/// Rebuilds the open sets after the upstreams of pools have changed.
+/// Rebuilds the sets of available upstreams after the upstreams of pools have changed.
 pub(super) fn apply_config(tick: &mut Tick<'_>) {
     let tables = &mut *tick.tables;
     for (_, row) in tables.upstreams.iter_mut() {
--- a/crates/core/src/systems/placement/selection.rs
+++ b/crates/core/src/systems/placement/selection.rs
@@ -9,7 +9,7 @@
 use crate::output::PlacementReason;
 use crate::tables::{Pool, Upstream, Waiting};
 
-/// Largest pool in which all open upstreams are compared; larger ones are sampled by two hashes.
+/// Largest pool in which all available upstreams are compared; larger ones are sampled by hash.
 const MAX_COMPARED_UPSTREAMS: usize = 16;
 
 /// Weight of prefill time relative to waiting time.
@@ -91,10 +91,10 @@
     pool: &Pool,
     waiting: &'a Waiting,
 ) -> Option<&'a UpstreamName> {
-    let only = waiting.place.only.as_ref()?;
-    let row = tick.tables.upstreams.get(only)?;
-    let has_ended = row.health.has_crashed_lately(tick.now_us);
-    (pool.upstreams.contains(only) && !row.config.leaving && !has_ended).then_some(only)
+    let pinned = waiting.place.only.as_ref()?;
+    let row = tick.tables.upstreams.get(pinned)?;
+    let has_crashed = row.health.has_crashed_lately(tick.now_us);
+    (pool.upstreams.contains(pinned) && !row.config.leaving && !has_crashed).then_some(pinned)
 }
 
 /// Returns whether a call avoids every usable upstream of a pool small enough to check.
@@ -115,7 +115,7 @@
     row.is_some_and(|row| row.is_usable(tick.now_us))
 }
 
-/// Selects the next open upstream in round-robin order.
+/// Selects the next available upstream in round-robin order.
 fn select_round_robin(
     tick: &Tick<'_>,
     pool: &Pool,
@@ -123,17 +123,17 @@
 ) -> Selection {
     let count = pool.upstreams.len();
     let rotation = (0..count).map(|step| &pool.upstreams[(pool.next + step) % count]);
-    let mut open = rotation.filter(|name| {
+    let mut available = rotation.filter(|name| {
         let row = tick.tables.upstreams.get(name);
         row.is_some_and(|row| row.listed.is_some()) && is_allowed(name)
     });
-    select_first(&mut open, PlacementReason::InTurn)
+    select_first(&mut available, PlacementReason::InTurn)
 }
 
-/// Selects the open upstream with the fewest running calls relative to its limit.
+/// Selects the available upstream with the fewest running calls relative to its limit.
 fn select_least_loaded(pool: &Pool, is_allowed: impl Fn(&UpstreamName) -> bool) -> Selection {
-    let mut open = pool.open.iter().map(|(_, name)| name);
-    let mut allowed = open.by_ref().filter(|name| is_allowed(name));
+    let mut available = pool.open.iter().map(|(_, name)| name);
+    let mut allowed = available.by_ref().filter(|name| is_allowed(name));
     select_first(&mut allowed, PlacementReason::LeastRunning)
 }
 
@@ -211,7 +211,7 @@
 /// Returns the upstreams whose costs are compared.
 ///
 /// In a large pool these are the hinted ones, two selected by hash, and the
-/// least loaded one in case the hashed ones are full.
+/// least loaded one in case those selected by hash are full.
 fn candidate_names<'a>(
     tick: &Tick<'_>,
     pool: &'a Pool,
