--- a/crates/core/src/systems/homes/entry.rs
+++ b/crates/core/src/systems/homes/entry.rs
@@ -1,7 +1,7 @@
 //! Start of a turn, on the entry VM.
 
 use super::super::{Tick, admission};
-use super::{HOME_TIMEOUT_MS, MOVING_RETRY_AFTER_MS, backoff_us, requests, settles, witness};
+use super::{HOME_TIMEOUT_MS, MOVING_RETRY_AFTER_MS, backoff_us, requests, settlement, witness};
 use crate::ids::{CallId, ProgramKey, VmName};
 use crate::message::{Began, Begin, Denied, HomesMessage};
 use crate::output::{Execution, Output, RefusalKind};
@@ -136,7 +136,7 @@
 /// before the restart of this VM may have run.
 fn report_unknown_call(tick: &mut Tick<'_>, home: &VmName, call: CallId, program: ProgramKey) {
     if tick.tables.homes.settles.contains_key(&call) {
-        settles::send(tick, call);
+        settlement::send(tick, call);
         return;
     }
     let ran = if call.incarnation == tick.settings.incarnation {
--- a/crates/core/src/systems/homes/home.rs
+++ b/crates/core/src/systems/homes/home.rs
@@ -1,10 +1,10 @@
 //! Handling of turns on the home: start, probe, end and loss of the entry VM.
 
 use super::super::Tick;
-use super::order::{self, BeginDecision};
+use super::turn_order::{self, BeginDecision};
 use super::{
-    MOVING_RETRY_AFTER_MS, PROBE_INTERVAL_MS, budget, lifecycle, permits, release, resume,
-    takeover, tree, waits,
+    MOVING_RETRY_AFTER_MS, PROBE_INTERVAL_MS, budget, lifecycle, permits, recovery, release,
+    takeover, tree, wait_queue,
 };
 use crate::ids::{CallId, HistoryDigest, ProgramKey, UpstreamName, VmName};
 use crate::message::{Began, Begin, Denied, HomesMessage, RunningTurn, Settle};
@@ -25,13 +25,13 @@
         let (kind, retry_after_ms) = (RefusalKind::HomeMoving, Some(MOVING_RETRY_AFTER_MS));
         return deny(tick, vm, &begin, kind, not_run, retry_after_ms);
     }
-    if waits::refresh(tick, &begin) {
+    if wait_queue::refresh(tick, &begin) {
         return tick.send(vm, HomesMessage::Pending { call: begin.call });
     }
     if !tick.tables.accounts.contains_key(&key.account) {
         return deny(tick, vm, &begin, RefusalKind::KeyUnknown, not_run, None);
     }
-    if let Err(kind) = resume::ensure_row(tick, key, begin.continuation.as_ref()) {
+    if let Err(kind) = recovery::ensure_row(tick, key, begin.continuation.as_ref()) {
         let ran = lifecycle::prior_execution(tick, &begin);
         return deny(tick, vm, &begin, kind, ran, None);
     }
@@ -43,11 +43,11 @@
     let Some(program) = tick.tables.programs.get(&begin.program) else {
         return;
     };
-    match order::decide(tick, program, &begin) {
+    match turn_order::decide(tick, program, &begin) {
         BeginDecision::Start => start(tick, vm, &begin),
         BeginDecision::AlreadyBegun => reply_began(tick, vm, &begin),
-        BeginDecision::Wait => waits::add(tick, vm, begin, false),
-        BeginDecision::Attach => waits::add(tick, vm, begin, true),
+        BeginDecision::Wait => wait_queue::add(tick, vm, begin, false),
+        BeginDecision::Attach => wait_queue::add(tick, vm, begin, true),
         BeginDecision::Replay {
             vm: keeper,
             original,
@@ -104,7 +104,7 @@
     if let Err(kind) = budget::reserve(tick, key, begin.reserve_tokens) {
         let program = tick.tables.programs.get(key);
         let ran = program.map_or(Execution::NotRun, |program| {
-            order::prior_execution(tick, program, begin)
+            turn_order::prior_execution(tick, program, begin)
         });
         deny(tick, vm, begin, kind, ran, None);
         budget::close_if_exhausted(tick, key);
@@ -201,7 +201,7 @@
     } else if is_outcome_unknown(tick, key, settle.call) {
         resolve_unknown(tick, vm, settle);
     } else {
-        waits::remove(tick, settle.call);
+        wait_queue::remove(tick, settle.call);
     }
     reply_settled(tick, vm, settle);
 }
@@ -225,11 +225,11 @@
     let key = &settle.state.program;
     let source = TakeoverSource::Settle;
     if tick.tables.programs.contains_key(key) {
-        resume::advance(tick, key, &settle.state, source);
+        recovery::advance(tick, key, &settle.state, source);
     } else if takeover::was_home_since(tick, key, settle.state.epoch) {
         return;
     } else {
-        resume::rebuild(tick, key, &settle.state, source);
+        recovery::rebuild(tick, key, &settle.state, source);
     }
     adopt_turn(tick, key, vm, settle.state.generation, &settle.turn);
 }
@@ -321,7 +321,7 @@
     } else {
         budget::close_if_exhausted(tick, key);
     }
-    waits::reevaluate(tick, key);
+    wait_queue::reevaluate(tick, key);
 }
 
 /// Records the outcome of a turn that was unknown until now.
--- a/crates/core/src/systems/homes/lifecycle.rs
+++ b/crates/core/src/systems/homes/lifecycle.rs
@@ -1,7 +1,7 @@
 //! End of programs: at the request of the caller, on lease expiry or when the budget is used up.
 
 use super::super::Tick;
-use super::{budget, order, release, takeover, tree, waits};
+use super::{budget, release, takeover, tree, turn_order, wait_queue};
 use crate::ids::{CallId, ProgramKey, VmName};
 use crate::message::{Begin, Denied, HomesMessage};
 use crate::output::{Decision, Execution, OverReason, RefusalKind};
@@ -65,7 +65,7 @@
             OverReason::Exhausted => release::release_all(tick, &key),
             _ => remove_if_idle(tick, &key),
         }
-        waits::reevaluate(tick, &key);
+        wait_queue::reevaluate(tick, &key);
     }
 }
 
@@ -79,7 +79,7 @@
     if is_needed {
         return;
     }
-    waits::reevaluate(tick, key);
+    wait_queue::reevaluate(tick, key);
     release::release_all(tick, key);
     add_tombstone(tick, key);
     tree::remove(tick, key);
@@ -116,7 +116,7 @@
 pub(super) fn prior_execution(tick: &Tick<'_>, begin: &Begin) -> Execution {
     let tombstone = tick.tables.homes.over.get(&begin.program);
     match (tombstone, &begin.permit) {
-        (Some(tombstone), _) => order::prior_execution(tick, &tombstone.row, begin),
+        (Some(tombstone), _) => turn_order::prior_execution(tick, &tombstone.row, begin),
         (None, Some(_)) => Execution::MayHaveRun,
         (None, None) => Execution::NotRun,
     }
--- a/crates/core/src/systems/homes/mod.rs
+++ b/crates/core/src/systems/homes/mod.rs
@@ -3,30 +3,30 @@
 //! Each program has one home, the VM that owns its row. A VM has two roles here:
 //!
 //! - As entry VM of a call, it asks the home to start the turn and reports the
-//!   end of the turn (`entry`, `settles`, `requests`, `witness`).
+//!   end of the turn (`entry`, `settlement`, `requests`, `witness`).
 //! - As home of a program, it stores the row and decides about turns (`home`,
-//!   `order`, `budget`, `permits`, `waits`, `tree`, `lifecycle`, `release`).
+//!   `turn_order`, `budget`, `permits`, `wait_queue`, `tree`, `lifecycle`, `release`).
 //!
-//! When the view changes, `takeover` moves rows to their new homes, `resume`
+//! When the view changes, `takeover` moves rows to their new homes, `recovery`
 //! rebuilds rows that were lost, and `transfers` retries the messages.
 
 mod budget;
 mod entry;
 mod home;
 mod lifecycle;
-mod order;
 mod permits;
+mod recovery;
 mod release;
 mod requests;
-mod resume;
-mod settles;
+mod settlement;
 mod takeover;
 mod transfers;
 mod tree;
-mod waits;
+mod turn_order;
+mod wait_queue;
 mod witness;
 
-pub(crate) use settles::end_turn;
+pub(crate) use settlement::end_turn;
 
 use super::{Sender, Tick};
 use crate::ids::CallId;
@@ -126,7 +126,7 @@
             call,
             continuation,
             permit,
-        } => settles::handle_settled(tick, call, continuation, permit),
+        } => settlement::handle_settled(tick, call, continuation, permit),
         HomesMessage::Probe { call, program } => {
             entry::handle_probe(tick, &sender.vm, call, program)
         }
@@ -148,12 +148,12 @@
 fn handle_timer(tick: &mut Tick<'_>, timer: Timer) {
     match timer {
         Timer::TurnRetry(call) => entry::retry(tick, call),
-        Timer::SettleRetry(call) => settles::send(tick, call),
+        Timer::SettleRetry(call) => settlement::send(tick, call),
         Timer::RequestRetry(request) => requests::send(tick, request),
         Timer::TombstoneForget(program) => lifecycle::expire_tombstone(tick, &program),
         Timer::WitnessForget(program) => witness::expire_record(tick, &program),
         Timer::TransferRetry(transfer) => transfers::send(tick, transfer),
-        Timer::TurnWait(call) => waits::expire(tick, call),
+        Timer::TurnWait(call) => wait_queue::expire(tick, call),
         Timer::TurnProbe(program, call) => home::probe(tick, program, call),
         Timer::ProgramLease(program) => lifecycle::check_lease(tick, &program),
         Timer::ReleaseRetry(release) => release::send(tick, release),
--- a/crates/core/src/systems/homes/permits.rs
+++ b/crates/core/src/systems/homes/permits.rs
@@ -1,7 +1,7 @@
 //! Permits, which let a request that may not be repeated run at most once.
 
 use super::super::Tick;
-use super::{resume, takeover};
+use super::{recovery, takeover};
 use crate::ids::{ProgramKey, VmName};
 use crate::input::Permit;
 use crate::message::{Begin, Denied, HomesMessage, PermitRequest};
@@ -75,7 +75,7 @@
     let not_run = |kind| (kind, Execution::NotRun);
     let key = &request.program;
     takeover::check_home(tick, key).map_err(|_| not_run(RefusalKind::HomeMoving))?;
-    resume::ensure_row(tick, key, request.continuation.as_ref()).map_err(not_run)?;
+    recovery::ensure_row(tick, key, request.continuation.as_ref()).map_err(not_run)?;
     let program = tick.tables.programs.get(key);
     let program = program.ok_or(not_run(RefusalKind::ProgramEnded))?;
     let carried = request.continuation.as_ref();
--- a/crates/core/src/systems/homes/takeover.rs
+++ b/crates/core/src/systems/homes/takeover.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use super::super::Tick;
-use super::{MOVING_RETRY_AFTER_MS, home, lifecycle, release, transfers, tree, waits, witness};
+use super::{
+    MOVING_RETRY_AFTER_MS, home, lifecycle, release, transfers, tree, wait_queue, witness,
+};
 use crate::ids::{Epoch, Incarnation, ProgramKey, UpstreamName, VmName};
 use crate::message::{HandOver, HandedProgram, HomesMessage};
 use crate::output::{Decision, TakeoverSource};
@@ -188,7 +190,7 @@
     let mut taken = Vec::new();
     for (key, home) in moved {
         // The entry VMs of waiting calls resend `Begin` to the new home.
-        waits::take_all(tick, &key);
+        wait_queue::take_all(tick, &key);
         if let Some(row) = tick.tables.programs.remove(&key) {
             let now_us = tick.now_us;
             taken.push((home, HandedProgram { key, row, now_us }));
--- a/crates/core/src/systems/homes/waits.rs
+++ b/crates/core/src/systems/homes/wait_queue.rs
@@ -1,7 +1,7 @@
 //! Calls that wait at the home of a program for their turn.
 
 use super::super::Tick;
-use super::{home, order};
+use super::{home, turn_order};
 use crate::ids::{CallId, ProgramKey, VmName};
 use crate::message::{Begin, HomesMessage};
 use crate::output::{Execution, RefusalKind};
@@ -90,7 +90,7 @@
     let key = &wait.begin.program;
     let program = tick.tables.programs.get(key);
     let ran = program.map_or(Execution::NotRun, |program| {
-        order::prior_execution(tick, program, &wait.begin)
+        turn_order::prior_execution(tick, program, &wait.begin)
     });
     let kind = RefusalKind::TurnOutOfOrder;
     home::deny(tick, &wait.vm, &wait.begin, kind, ran, None);
--- a/crates/core/src/systems/homes/witness.rs
+++ b/crates/core/src/systems/homes/witness.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 
 use super::super::Tick;
-use super::{home, lifecycle, release, resume, settles, takeover, transfers};
+use super::{home, lifecycle, recovery, release, settlement, takeover, transfers};
 use crate::ids::{Epoch, ProgramKey, UpstreamName, VmName};
 use crate::input::Continuation;
 use crate::message::{HomesMessage, RunningTurn, Witness};
@@ -168,11 +168,11 @@
     let mut running: BTreeMap<ProgramKey, RunningTurns> = BTreeMap::new();
     for (_, call) in tick.tables.calls.iter() {
         let has_begun = matches!(call.stage, Stage::Place | Stage::Running | Stage::Settling);
-        let turn = settles::running_turn(call).filter(|_| has_begun || call.may_have_run);
+        let turn = settlement::running_turn(call).filter(|_| has_begun || call.may_have_run);
         if let (Some(key), Some(turn)) = (&call.program, turn) {
             let entry = running.entry(key.clone()).or_default();
             entry.0.push(turn);
-            entry.1.extend(settles::upstreams_of(call));
+            entry.1.extend(settlement::upstreams_of(call));
         }
     }
     for (id, pending) in tick.tables.homes.settles.iter() {
@@ -223,9 +223,9 @@
     state.age_ms += witness.idle_ms;
     let source = TakeoverSource::Witness;
     if tick.tables.programs.contains_key(key) {
-        resume::advance(tick, key, &state, source);
+        recovery::advance(tick, key, &state, source);
     } else if !has_ended(tick, key, &state) {
-        resume::rebuild(tick, key, &state, source);
+        recovery::rebuild(tick, key, &state, source);
     }
     let program = tick.tables.programs.get(key);
     if program.is_none_or(|program| program.generation != state.generation) {
@@ -235,7 +235,7 @@
         }
         return;
     }
-    resume::raise_usage(tick, key, &state, 0);
+    recovery::raise_usage(tick, key, &state, 0);
     release::record_upstreams(tick, key, &witness.upstreams);
     for running in &witness.running {
         home::adopt_turn(tick, key, vm, state.generation, running);
