--- a/crates/core/src/config/fleet.rs
+++ b/crates/core/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! The published configuration of the fleet.
+//! Fleet-wide configuration, as published by operators.
 
 use bon::Builder;
 
@@ -11,46 +11,46 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct FleetConfig {
-    /// The version of the write that published it.
+    /// The store's version of the write that published it; 0 before any was read.
     pub revision: Revision,
     /// Client accounts with their limits and keys.
     pub accounts: Vec<AccountConfig>,
     /// Services with their upstreams and routes.
     pub services: Vec<ServiceConfig>,
-    /// Routes by host and path.
+    /// Routes of relayed calls, by host and path.
     #[cfg_attr(feature = "serde", serde(default))]
     pub host_routes: Vec<HostRoute>,
-    /// Bounds of what a caller may send.
+    /// Limits on the requests and connections of callers.
     #[cfg_attr(feature = "serde", serde(default))]
     pub caller_limits: CallerLimits,
 }
 
-/// A client account.
+/// A client account with its rate limit, program limits and keys.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AccountConfig {
-    /// The account's name.
+    /// Name that is unique in the fleet.
     pub name: AccountName,
-    /// Calls admitted over all VMs, in thousandths of a call a second.
+    /// Sustained rate over all VMs, in thousandths of a call per second.
     pub rate_mcalls_per_s: u64,
-    /// Calls admitted at once over all VMs.
+    /// Calls that all VMs together may admit at once.
     pub burst_calls: u64,
-    /// Weight of the account when upstreams are shared.
+    /// Weight in fair sharing of upstreams between accounts; 100 is the default.
     #[builder(default = 100)]
     pub weight_percent: u32,
-    /// Tokens that one program may use.
+    /// Token budget of one program.
     #[builder(default = 1_000_000)]
     pub program_tokens: u64,
-    /// Turns that one program may take.
+    /// Highest number of turns of one program.
     #[builder(default = 130)]
     pub program_turns: u32,
-    /// Time that one program may take.
+    /// Longest duration of one program.
     #[builder(default = 3_600_000)]
     pub program_wall_ms: u64,
-    /// The rank of the account's calls, in place of that of their route; 0 goes first.
+    /// Priority of the account's calls, which overrides that of their route; 0 is the highest.
     #[cfg_attr(feature = "serde", serde(default))]
     pub priority: Option<u32>,
-    /// Keys of the account.
+    /// Keys that authenticate the account's callers.
     #[builder(default)]
     pub keys: Vec<KeyConfig>,
 }
@@ -59,11 +59,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct KeyConfig {
-    /// The public part of the key.
+    /// Public part of the key, by which it is looked up.
     pub id: KeyId,
-    /// The digest of the whole key.
+    /// SHA-256 digest of the whole key.
     pub sha256: Secret256,
-    /// Whether the key has been withdrawn.
+    /// Whether the key has been withdrawn, so that calls with it are refused.
     pub withdrawn: bool,
 }
 
@@ -71,26 +71,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ServiceConfig {
-    /// The service's name.
+    /// Name that is unique in the fleet.
     pub name: ServiceName,
-    /// Engine or plain, with what only that kind has.
+    /// Model engines or a plain HTTP service.
     pub kind: ServiceKind,
-    /// The upstreams that run the service.
+    /// Upstreams that run the service.
     #[builder(default)]
     pub upstreams: Vec<UpstreamConfig>,
     /// Routes of a plain service; the longest matching prefix wins.
     #[builder(default)]
     pub routes: Vec<RouteConfig>,
-    /// Models that engines may load a minute from the weight store.
+    /// Model loads from the weight store that the engines may start per minute.
     #[builder(default = 6)]
     pub weight_loads_per_min: u32,
-    /// Longest wait for the first byte or token; the VM's setting when absent.
+    /// Timeout for the first byte or token of a response; if absent, the VM's setting.
     pub first_token_ms: Option<u64>,
-    /// Longest pause within a response; the VM's setting when absent.
+    /// Timeout for each further byte or token of a response; if absent, the VM's setting.
     pub token_gap_ms: Option<u64>,
 }
 
-/// What a service runs.
+/// Kind of a service's upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ServiceKind {
@@ -100,15 +100,15 @@
     Plain,
 }
 
-/// What only model engines have.
+/// Settings that only model engines have.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct EngineConfig {
     /// Models that the service offers.
     pub models: Vec<ModelName>,
-    /// Whether an interrupted stream can be resumed.
+    /// Whether an interrupted stream can be resumed on another engine.
     pub can_resume: bool,
-    /// Tokens in one event of a stream; 0 if the upstream states the tokens itself.
+    /// Tokens in one event of a stream; 0 if the upstream reports token counts itself.
     #[cfg_attr(feature = "serde", serde(default))]
     pub tokens_per_event: u64,
 }
@@ -117,17 +117,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct UpstreamConfig {
-    /// The upstream's name, unique over all services.
+    /// Name that is unique over all services.
     pub name: UpstreamName,
-    /// The address as `ip:port`.
+    /// Address as `ip:port`.
     pub address: String,
     /// Models that the upstream should have loaded; empty for plain services.
     #[builder(default)]
     pub models: Vec<ModelName>,
-    /// Lowest limit of calls running at once.
+    /// Lower bound of the learned limit of concurrent calls.
     #[builder(default = 1)]
     pub min_running_calls: u32,
-    /// Highest limit of calls running at once.
+    /// Upper bound of the learned limit of concurrent calls.
     #[builder(default = 8)]
     pub max_running_calls: u32,
     /// Whether the upstream refuses orders with an old fencing token.
@@ -136,10 +136,10 @@
     /// Whether the upstream is leaving and gets no new calls.
     #[builder(default)]
     pub leaving: bool,
-    /// The failure domain, if it is known.
+    /// Failure domain, if known.
     #[cfg_attr(feature = "serde", serde(default))]
     pub failure_domain: Option<DomainName>,
-    /// The start of the process in Unix time; 0 if it is not known.
+    /// Start of the process in Unix time; 0 if unknown.
     #[builder(default)]
     #[cfg_attr(feature = "serde", serde(default))]
     pub started_unix_ms: u64,
@@ -149,21 +149,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct RouteConfig {
-    /// The start of the path that the route matches.
+    /// Prefix of the paths that the route matches.
     pub path_prefix: String,
-    /// Methods that the route matches; empty for all.
+    /// Methods that the route matches; if empty, all.
     #[builder(default)]
     pub methods: Vec<String>,
     /// Whether a request may run more than once.
     #[builder(default)]
     pub idempotent: bool,
-    /// Whether the route is open to callers without a key.
+    /// Whether callers need no key.
     #[builder(default)]
     pub open: bool,
 }
 
 impl RouteConfig {
-    /// Returns whether the route matches a request.
+    /// Returns whether the route matches the method and path of a request.
     pub fn matches(&self, method: &str, path: &str) -> bool {
         path.starts_with(&self.path_prefix)
             && (self.methods.is_empty() || self.methods.iter().any(|m| m == method))
--- a/crates/core/src/config/host_route.rs
+++ b/crates/core/src/config/host_route.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path, for callers that address services by host.
+//! Routes by host and path, for relayed calls, which address a service by its host.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::ids::ServiceName;
 
-/// What may be done again when a request on a route fails.
+/// How a failed request on a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum RouteKind {
@@ -18,7 +18,7 @@
     NonIdempotent,
     /// The response is a stream of events.
     Stream {
-        /// Whether a broken stream can go on at another upstream after its last event.
+        /// Whether a broken stream can be resumed after its last event on another upstream.
         resumable: bool,
     },
 }
@@ -39,13 +39,13 @@
     }
 }
 
-/// A service that a route leads to, with its part of the requests.
+/// A service that receives a weighted part of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Backend {
-    /// The service.
+    /// Name of a service in the same configuration.
     pub service: ServiceName,
-    /// The part of the requests, relative to the other backends.
+    /// Part of the requests, relative to the other backends of the route.
     pub weight: u32,
 }
 
@@ -53,42 +53,42 @@
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct HostRoute {
-    /// The route's name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// The host that callers name, in lower case.
+    /// Host that callers address, in lower case.
     pub host: Arc<str>,
-    /// The start of the path; the longest match among the routes of a host wins.
+    /// Prefix of the path; among the routes of a host, the longest match wins.
     pub path_prefix: Arc<str>,
-    /// What may be done again when a request fails.
+    /// How a failed request may be retried.
     #[builder(default)]
     pub kind: RouteKind,
-    /// The services that requests go to.
+    /// Services that receive the requests.
     pub backends: SmallVec<[Backend; 1]>,
-    /// Longest time that a request is kept waiting for its response.
+    /// Timeout of a request, counted from its arrival.
     #[builder(default = 30_000)]
     pub timeout_ms: u64,
-    /// Time within which a response is on time.
+    /// Latency objective: a response within this time is on time.
     #[builder(default = 1_000)]
     pub objective_ms: u64,
-    /// Longest pause between two events of a stream that is still on time.
+    /// Objective for the longest pause between two events of a stream, if there is one.
     pub event_gap_ms: Option<u64>,
-    /// The rank of the requests; 0 goes first.
+    /// Priority of the requests; 0 is the highest.
     #[builder(default)]
     pub priority: u32,
-    /// Upstreams to which one request may be sent.
+    /// Highest number of upstreams to which one request is sent.
     #[builder(default = 1)]
     pub max_attempts: u32,
     /// Whether callers need no key.
     #[builder(default)]
     pub open: bool,
-    /// How long the tokens used by a program are remembered after its last turn.
+    /// How long the token use of a program is kept after its last turn; if absent, 60 s.
     pub program_keep_ms: Option<u64>,
 }
 
 impl HostRoute {
-    /// Chooses the service of a request by weight.
+    /// Selects a service by weight; the same `spread` always gives the same service.
     ///
-    /// The same `spread` always gives the same service.
+    /// Returns `None` if the route has no backends.
     pub fn backend(&self, spread: u64) -> Option<&ServiceName> {
         let total: u64 = self.backends.iter().map(|row| u64::from(row.weight)).sum();
         if total == 0 {
@@ -106,17 +106,17 @@
     }
 }
 
-/// Bounds of what a caller may send.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct CallerLimits {
-    /// Longest head of a request.
+    /// Maximum size of a request's header section.
     pub header_bytes: usize,
-    /// Longest body of a request.
+    /// Maximum size of a request's body.
     pub body_bytes: usize,
-    /// Longest time for the head of a request to arrive.
+    /// Timeout for receiving a request's header section.
     pub header_timeout_ms: u64,
-    /// Longest time that a connection stays open without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout_ms: u64,
 }
 
--- a/crates/core/src/config/settings.rs
+++ b/crates/core/src/config/settings.rs
@@ -1,56 +1,56 @@
-//! Settings of the core of one VM.
+//! Settings of one VM's core.
 
 use bon::Builder;
 
 use crate::ids::{DomainName, Incarnation, VmName};
 
-/// Which measure the placement policy favours.
+/// Objective that the placement policy favours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PolicyPreset {
     /// Fair shares between client accounts first.
     #[default]
     FairShare,
-    /// Short program latency first.
+    /// Low program latency first.
     Latency,
 }
 
 /// How an upstream is chosen for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum UpstreamChoice {
-    /// In turn.
+    /// The next one in turn.
     RoundRobin,
-    /// The one with the fewest calls for its limit.
+    /// The one with the fewest running calls in relation to its limit.
     LeastLoaded,
-    /// The one with the lowest cost of waiting and reading the prompt again.
+    /// The one with the lowest estimated cost of queueing and prefill of uncached tokens.
     #[default]
     LowestCost,
 }
 
-/// How the VMs of a fleet agree on what none of them may decide alone.
+/// How the VMs of a fleet coordinate decisions on shared state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Coordination {
-    /// Views and leases name one owner for each account, program and pool.
+    /// Views and leases assign one owner to each account, program and pool.
     #[default]
     Owners,
-    /// Each VM decides for its own calls from summaries of the others.
+    /// Each VM decides on its own calls, using summaries from the others.
     ///
-    /// What must be agreed on is written to the platform's store. Calls carry their whole
-    /// prompt, so that programs need no home.
+    /// Decisions that need agreement are written to the platform's store. Calls carry their whole
+    /// prompt, so programs need no home.
     Peers,
 }
 
-/// The parts of the placement policy that are on.
+/// Features of the placement policy that are enabled.
 ///
-/// The policy report switches parts off to measure what each contributes.
+/// The policy report disables features to measure what each contributes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PolicyParts {
-    /// Whether accounts take turns by the service that they received.
+    /// Whether accounts are scheduled by the service that they have received.
     pub fair_sharing: bool,
-    /// Whether the program with the least attained service goes first.
+    /// Whether the program with the least attained service is scheduled first.
     pub least_attained: bool,
-    /// How an upstream is chosen.
+    /// How an upstream is chosen for a call.
     pub upstream_choice: UpstreamChoice,
-    /// Whether the limit of calls on an upstream is learned.
+    /// Whether an upstream's limit of concurrent calls adapts to its measured speed.
     pub learned_limit: bool,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Settings of the core of one VM.
+/// Settings of one VM's core.
 ///
 /// The defaults are those of section 4.5 of `docs/design.md`.
 ///
@@ -83,50 +83,50 @@
 /// ```
 #[derive(Debug, Clone, Builder)]
 pub struct CoreSettings {
-    /// The name of this VM.
+    /// Name of this VM, unique in the fleet.
     pub vm: VmName,
-    /// The number of this start of the process.
+    /// Identifies this start of the process.
     pub incarnation: Incarnation,
-    /// The failure domain of this VM.
+    /// Failure domain of this VM.
     #[builder(default = DomainName::from("local"))]
     pub failure_domain: DomainName,
-    /// The address at which other VMs reach this one, as `ip:port`.
+    /// Address at which other VMs reach this one, as `ip:port`.
     #[builder(default = String::new())]
     pub address: String,
-    /// VMs to ask for the view when the store does not answer at the start.
+    /// VMs to ask for the view if the store does not answer at startup.
     #[builder(default)]
     pub peers: Vec<VmName>,
-    /// Which measure the placement policy favours.
+    /// Objective that the placement policy favours.
     #[builder(default)]
     pub preset: PolicyPreset,
-    /// The parts of the placement policy that are on.
+    /// Features of the placement policy that are enabled.
     #[builder(default)]
     pub policy: PolicyParts,
-    /// How the VMs of the fleet agree.
+    /// How the VMs of the fleet coordinate.
     #[builder(default)]
     pub coordination: Coordination,
     /// Addresses of VMs whose names are not known yet, as `ip:port`.
     #[builder(default)]
     pub seeds: Vec<String>,
-    /// Whether this start is the first of the whole fleet, so that no program ran before it.
+    /// Whether the whole fleet starts for the first time, so that no program ran before.
     #[builder(default)]
     pub is_first_start: bool,
     /// Interval between two summaries to another VM.
     #[builder(default = 200)]
     pub summary_ms: u64,
-    /// Silence after which another VM does not count as one that shares its rates.
+    /// Silence after which another VM no longer counts as one that shares the rates.
     #[builder(default = 700)]
     pub peer_silent_ms: u64,
-    /// Silence after which another VM is forgotten.
+    /// Silence after which the state of another VM is removed.
     #[builder(default = 10_000)]
     pub peer_forget_ms: u64,
-    /// Age of the last read of the configuration at which keys are no longer trusted.
+    /// Age of the last configuration read beyond which keys are no longer trusted.
     #[builder(default = 5_000)]
     pub stale_config_ms: u64,
-    /// Time after a store outage in which upstreams that are missing from the list are kept.
+    /// Time after a store outage for which upstreams that are missing from the list are kept.
     #[builder(default = 2_200)]
     pub relist_ms: u64,
-    /// Longest mean time between two tokens before an upstream gets fewer calls.
+    /// Mean time between two tokens above which an upstream's call limit is lowered.
     #[builder(default = 30)]
     pub token_target_ms: u64,
     /// Interval between heartbeats.
@@ -135,71 +135,71 @@
     /// Silence after which a VM is suspected to have failed.
     #[builder(default = 2_000)]
     pub suspect_ms: u64,
-    /// Interval between touches of the view by a writer.
+    /// Interval at which a writer confirms the view in the store.
     #[builder(default = 1_000)]
     pub touch_ms: u64,
-    /// How long a confirmation of the view lets a VM act as owner or home.
+    /// Lease: how long a VM may act as owner or home after the view was confirmed.
     #[builder(default = 3_000)]
     pub lease_ms: u64,
-    /// Peers that a VM sends heartbeats to in a large fleet.
+    /// Number of peers to which a VM sends heartbeats in a large fleet.
     #[builder(default = 8)]
     pub fan_out: usize,
-    /// How long a share of an account's rate is granted for.
+    /// Validity of a grant of a share of an account's rate.
     #[builder(default = 3_000)]
     pub grant_ms: u64,
-    /// The window over which the rate and burst of an account are counted; 0 for all windows.
+    /// Window over which an account's rate and burst are counted; 0 counts over every window.
     #[builder(default)]
     pub rate_window_ms: u64,
     /// Longest wait of a call for its account's rate.
     #[builder(default = 2_000)]
     pub rate_wait_ms: u64,
-    /// Longest wait of a call for the turn before it.
+    /// Longest wait of a call for the end of the previous turn.
     #[builder(default = 2_000)]
     pub turn_wait_ms: u64,
     /// How long a program without calls is kept.
     #[builder(default = 600_000)]
     pub program_lease_ms: u64,
-    /// How long the response to a call is kept for a resend.
+    /// How long the response to a call is kept for resends.
     #[builder(default = 120_000)]
     pub answer_keep_ms: u64,
-    /// Longest wait for the first token of a response.
+    /// Timeout for the first token of a response.
     #[builder(default = 30_000)]
     pub first_token_ms: u64,
-    /// Longest pause between two tokens of a response.
+    /// Timeout for each further token of a response.
     #[builder(default = 10_000)]
     pub token_gap_ms: u64,
-    /// How long after its lease a VM still admits calls with keys.
+    /// How long a VM still admits calls with keys after its lease has expired.
     #[builder(default = 1_000)]
     pub isolation_ms: u64,
-    /// Longest wait for a response of the owner of a pool.
+    /// Timeout for a response from the owner of a pool.
     #[builder(default = 200)]
     pub place_timeout_ms: u64,
     /// Longest wait of a call for an upstream.
     #[builder(default = 30_000)]
     pub queue_ms: u64,
-    /// Time after which a cache hint counts half.
+    /// Half-life of the estimate of a program's cached tokens on an engine.
     #[builder(default = 60_000)]
     pub cache_half_life_ms: u64,
-    /// Longest time that an order to an upstream is in flight.
+    /// Timeout of an order to an upstream.
     #[builder(default = 30_000)]
     pub order_ms: u64,
     /// How long a request that crashes upstreams is refused.
     #[builder(default = 600_000)]
     pub quarantine_ms: u64,
-    /// Share of recent calls that may be retried, in percent.
+    /// Retry budget, in percent of recent calls.
     #[builder(default = 20)]
     pub retry_percent: u64,
 }
 
 impl CoreSettings {
-    /// Extends a time by the margin for clocks that run at different speeds.
+    /// Converts a time to microseconds and extends it by 10% for clock drift.
     ///
-    /// Clock rates may differ by 10% before two VMs can act for the same thing.
+    /// Two VMs never act as owner of the same thing while their clock rates differ by less.
     pub fn with_margin_us(time_ms: u64) -> u64 {
         time_ms * 1_100
     }
 
-    /// Returns how long a VM waits before it acts for what was not handed over to it.
+    /// Returns how long a new owner or home waits before it acts without a hand-over.
     pub fn takeover_wait_us(&self) -> u64 {
         Self::with_margin_us(self.lease_ms)
     }
--- a/crates/core/src/systems/admission/mod.rs
+++ b/crates/core/src/systems/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admits calls and moves them on.
+//! Admission of calls: route lookup, authentication, refusals, and the stages of a call.
 
 use std::sync::Arc;
 
@@ -12,11 +12,14 @@
 use crate::output::{ChargeOutcome, Decision, Execution, Output, Refusal, RefusalKind};
 use crate::tables::{Call, Relay, Stage};
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
+    /// Calls that the front end has received.
     pub arrived: Vec<NewCall>,
+    /// Calls whose callers have disconnected.
     pub abandoned: Vec<CallId>,
+    /// Whether the process stops, so that all calls have to end.
     pub halt: bool,
 }
 
@@ -26,7 +29,7 @@
     }
 }
 
-/// Runs the system.
+/// Handles new and abandoned calls, then ends all calls if the process stops.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.admission);
     for call in work.arrived {
@@ -40,32 +43,36 @@
     }
 }
 
-/// The route that a call takes.
+/// The route of a call, resolved from its target.
 struct Route {
     pool: PoolKey,
+    /// Whether the call may run more than once.
     idempotent: bool,
+    /// Whether the caller needs no key.
     open: bool,
-    /// The route of a relayed call.
+    /// The route by host and path; `None` unless the call is relayed.
     host: Option<Arc<HostRoute>>,
 }
 
-/// Time beyond the limit of its route for which a stream that has begun may go on.
+/// Time for which a stream that has begun may go on after its route's timeout.
 const STREAM_GRACE_US: u64 = 200_000;
 
-/// Age of the configuration beyond which it denies nothing.
+/// Highest age of the configuration at which a relayed call is denied for an unknown route,
+/// model or key.
 ///
-/// A route or key that is missing in an older one may have been added since.
+/// One that is missing from an older configuration may have been added since.
 const DENY_CONFIG_US: u64 = 2_000_000;
 
-/// Admits a new call or refuses it.
+/// Resolves and authenticates a new call, and refuses it or moves it to its first stage.
 fn arrive(tick: &mut Tick<'_>, new: NewCall) {
     let id = new.id;
     let admitted = find_route(tick, &new).and_then(|route| {
-        // A relayed call on a route open to all may carry any key.
+        // On an open route, the key of a relayed call is ignored.
         let is_keyless = route.open && route.host.is_some();
         let key = new.key.as_ref().filter(|_| !is_keyless);
         let account = find_account(tick, key, route.open)?;
-        // After the key, so that nobody learns of other callers' contents without one.
+        // Checked after the key, so that callers without one can't probe which contents are
+        // quarantined.
         if tick.tables.quarantine.contains_key(&new.digest) {
             return Err(RefusalKind::Quarantined);
         }
@@ -141,7 +148,7 @@
     }
 }
 
-/// Turns a denial into a refusal for now if the configuration is too old to deny anything.
+/// Refuses as `Isolated` instead of denying if the configuration is too old for a denial.
 fn undenied(tick: &Tick<'_>, new: &NewCall, kind: RefusalKind) -> RefusalKind {
     let is_denial = matches!(
         kind,
@@ -156,9 +163,9 @@
     }
 }
 
-/// Returns the program of a turn if it has used up its budget.
+/// Returns the program of a turn if its budget is used up.
 ///
-/// Such a turn takes nothing from its account's rate.
+/// Such a turn is refused before it counts against its account's rate.
 fn stopped_program(tick: &Tick<'_>, relay: Option<&Relay>) -> Option<ProgramKey> {
     let turn = relay.filter(|relay| relay.budget_tokens.is_some())?;
     let program = turn.program.as_ref()?;
@@ -166,7 +173,7 @@
     row.is_stopped.then(|| program.clone())
 }
 
-/// Returns whether a relayed call is the first turn of a program.
+/// Returns whether a relayed call is the first turn of a program, as far as this VM knows.
 fn begins_program(tick: &Tick<'_>, relay: Option<&Relay>) -> bool {
     let Some(relay) = relay.filter(|relay| relay.budget_tokens.is_some()) else {
         return false;
@@ -176,7 +183,7 @@
     row.is_none_or(|row| row.spent.is_empty() && row.running_tokens == 0)
 }
 
-/// Makes what only a relayed call has.
+/// Builds the state that only relayed calls have.
 fn relay(
     tick: &Tick<'_>,
     new: &NewCall,
@@ -210,7 +217,7 @@
     })
 }
 
-/// Finds the route of a call.
+/// Resolves the target of a call to its pool and route.
 fn find_route(tick: &Tick<'_>, new: &NewCall) -> Result<Route, RefusalKind> {
     match &new.target {
         Target::Host { host, path } => find_host_route(tick, new, host, path),
@@ -249,7 +256,7 @@
     }
 }
 
-/// Finds the route of a relayed call.
+/// Resolves the host and path of a relayed call to its pool and route.
 fn find_host_route(
     tick: &Tick<'_>,
     new: &NewCall,
@@ -292,7 +299,7 @@
     })
 }
 
-/// Finds the account of the key that came with a call.
+/// Returns the account of the presented key, or `None` if the route is open and no key is given.
 pub(crate) fn find_account(
     tick: &Tick<'_>,
     key: Option<&PresentedKey>,
@@ -318,7 +325,7 @@
     Ok(Some(key.account.clone()))
 }
 
-/// Moves a call to a stage and onto the work list of its system.
+/// Moves a call to a stage, or to the one required before it, and enqueues it for its system.
 pub(crate) fn enter(tick: &mut Tick<'_>, id: CallId, stage: Stage) {
     let Some(call) = tick.tables.calls.get_mut(&id) else {
         return;
@@ -326,7 +333,7 @@
     let stage = match stage {
         Stage::Home if call.has_budget() => Stage::Budget,
         Stage::Home if call.program.is_none() => Stage::Place,
-        // A retry after the turn's validity has to ask the home again.
+        // A retry after the validity of the turn has expired needs a new one from the home.
         Stage::Place if call.valid_until_us <= tick.now_us => Stage::Home,
         stage => stage,
     };
@@ -342,7 +349,7 @@
     }
 }
 
-/// Ends a call that gets no response of an upstream.
+/// Removes a call and refuses it, after settling its turn, budget, charge and rate.
 pub(crate) fn refuse(
     tick: &mut Tick<'_>,
     id: CallId,
@@ -378,7 +385,7 @@
     report(tick, id, kind, ran, retry_after_ms);
 }
 
-/// Tells the front end and the log about a refusal.
+/// Reports a refusal to the front end and the log.
 pub(crate) fn report(
     tick: &mut Tick<'_>,
     call: CallId,
@@ -395,9 +402,9 @@
     tick.decide(Decision::Refused { call, kind, ran });
 }
 
-/// Ends all calls, since the process ends.
+/// Refuses all open calls because the process stops.
 ///
-/// A call that runs on an upstream is charged as far as is known of it.
+/// A call that runs on an upstream is charged by what is known of it.
 fn halt(tick: &mut Tick<'_>) {
     let open: Vec<CallId> = tick.tables.calls.iter().map(|(id, _)| *id).collect();
     for id in open {
@@ -421,7 +428,7 @@
     }
 }
 
-/// Ends a waiting call whose caller disconnected.
+/// Refuses a waiting call whose caller has disconnected.
 fn abandon(tick: &mut Tick<'_>, id: CallId) {
     let Some(call) = tick.tables.calls.get(&id) else {
         return;
@@ -438,7 +445,7 @@
             }
             refuse(tick, id, RefusalKind::CallerGone, ran, None);
         }
-        // The traffic side reports the end of the attempt.
+        // The traffic threads report the end of the attempt.
         Stage::Running | Stage::Settling => {}
     }
 }
--- a/crates/core/src/systems/budgets/mod.rs
+++ b/crates/core/src/systems/budgets/mod.rs
@@ -1,9 +1,9 @@
 //! Token budgets of programs whose turns may come through any VM.
 //!
-//! VMs tell each other what they have used. A quarter of a budget may be used on the strength of
-//! that; beyond it, a VM reserves tokens in the program's record in the store before it passes
-//! them on. What was reserved and not used is lost with the VM, so a budget is never exceeded by
-//! VMs that end or do not hear each other.
+//! VMs report the tokens that they have used to each other. A quarter of a budget may be used on
+//! the basis of these reports alone; beyond it, a VM reserves tokens in the program's record in
+//! the store before it forwards them to callers. Unused reservations are lost with their VM, so
+//! VMs that crash or can't reach each other never exceed a budget.
 
 use super::{Tick, admission};
 use crate::ids::{CallId, Incarnation, ProgramKey, VmName};
@@ -11,17 +11,19 @@
 use crate::output::{Decision, Execution, Output, RefusalKind, SourceRequest};
 use crate::tables::{Budget, BudgetRecord, Call, Knowledge, Relay, Stage, Timer, Verdict};
 
-/// Time after which a program whose route states none is forgotten.
+/// How long a program is kept after its last turn if its route sets no time.
 const DEFAULT_KEEP_MS: u64 = 60_000;
 
-/// Time to wait before a resend when the store did not answer.
+/// `retry-after` of a turn that is refused because the store did not answer.
 const RETRY_AFTER_MS: u64 = 300;
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
+    /// Turns to be covered by their program's budget.
     pub calls: Vec<CallId>,
-    /// Programs with the tokens reserved for them; `None` if the store did not answer.
+    /// Tokens reserved for each program: 0 if its budget is used up, `None` if the store did not
+    /// answer.
     pub reserved: Vec<(ProgramKey, Option<u64>)>,
     pub due: Vec<Timer>,
 }
@@ -32,7 +34,7 @@
     }
 }
 
-/// Runs the system.
+/// Handles reservations and due timers, then covers turns once earlier programs are known.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.budgets);
     for (program, tokens) in work.reserved {
@@ -52,7 +54,7 @@
     }
 }
 
-/// Takes note of what is known of programs, and goes on with the turns that waited for it.
+/// Records that earlier programs are known and resumes the turns that waited for this.
 pub(crate) fn know(tick: &mut Tick<'_>, losses: u32, programs: usize) {
     let source = &mut tick.tables.source;
     source.knowledge = Knowledge::Since {
@@ -65,7 +67,7 @@
     tick.decide(Decision::ProgramsKnown { programs, losses });
 }
 
-/// Takes over the record of a program after a loss of memory.
+/// Restores a program from its record in the store after all VMs lost their state.
 pub(crate) fn adopt_record(tick: &mut Tick<'_>, record: &BudgetRecord) {
     let row = touch(tick, &record.program, DEFAULT_KEEP_MS * 1_000);
     row.budget_tokens = record.budget_tokens;
@@ -73,7 +75,7 @@
     row.is_stopped |= record.is_stopped;
 }
 
-/// Covers a turn by its program's budget, or lets it wait for a reservation.
+/// Covers a turn by its program's budget, requests a reservation for it, or refuses it.
 fn request(tick: &mut Tick<'_>, id: CallId) {
     let is_waiting = |call: &Call| call.stage == Stage::Budget;
     if !tick.tables.calls.get(&id).is_some_and(is_waiting) {
@@ -120,22 +122,22 @@
     }
 }
 
-/// Returns the program and line of a turn and the most that the turn may generate.
+/// Returns the program, the line and the maximum generated tokens of a turn.
 fn turn_of(tick: &Tick<'_>, id: CallId) -> Option<(ProgramKey, Option<u64>, u64)> {
     let call = tick.tables.calls.get(&id)?;
     let relay = call.relay.as_ref()?;
     Some((relay.program.clone()?, relay.line, call.new.max_tokens))
 }
 
-/// Returns what only a relayed call has.
+/// Returns the relay state of a call; `None` if the call isn't relayed.
 fn relay_mut<'a>(tick: &'a mut Tick<'_>, id: CallId) -> Option<&'a mut Relay> {
     tick.tables.calls.get_mut(&id)?.relay.as_deref_mut()
 }
 
-/// Makes the row of a program that is not known yet, and notes its use.
+/// Creates the row of a new program, or updates the time at which it was last used.
 ///
-/// The others hear of a new program at once, so that they can tell its sub-agents from its main
-/// line of turns.
+/// A new program is announced to the other VMs at once, so that they can distinguish its
+/// sub-agents from its main line of turns.
 fn open(tick: &mut Tick<'_>, id: CallId, program: &ProgramKey, line: Option<u64>) {
     let now_us = tick.now_us;
     let relay = tick
@@ -162,7 +164,7 @@
     }
 }
 
-/// Returns the row of a program, making it if it is missing.
+/// Returns the row of a program; creates the row and its expiry timer if it is missing.
 fn touch<'a>(tick: &'a mut Tick<'_>, program: &ProgramKey, keep_us: u64) -> &'a mut Budget {
     let now_us = tick.now_us;
     if !tick.tables.budgets.contains_key(program) {
@@ -182,7 +184,7 @@
         .get_or_insert_with(program, Budget::default)
 }
 
-/// Goes on with the turns that waited for a reservation.
+/// Records a reservation and continues the turns that waited for it.
 fn reserved(tick: &mut Tick<'_>, program: &ProgramKey, tokens: Option<u64>) {
     let round = tick.tables.peering.next_round();
     let Some(row) = tick.tables.budgets.get_mut(program) else {
@@ -230,7 +232,7 @@
     });
 }
 
-/// Refuses a turn that the budget does not hold; the program stays stopped.
+/// Refuses a turn that exceeds the budget and stops its program for good.
 fn stop(tick: &mut Tick<'_>, program: &ProgramKey, id: CallId) {
     report_uncovered(tick, program, id);
     let round = tick.tables.peering.next_round();
@@ -241,7 +243,7 @@
         let known_tokens = row.known_tokens();
         let budget_tokens = row.budget_tokens;
         if !std::mem::replace(&mut row.has_record, true) {
-            // A stopped program must stay so even if all VMs lose their memory.
+            // The record keeps the program stopped even if all VMs lose their state.
             tick.outputs.push(Output::Source(SourceRequest::Stop {
                 program: program.clone(),
                 budget_tokens,
@@ -257,7 +259,7 @@
     admission::refuse(tick, id, RefusalKind::OverBudget, Execution::NotRun, None);
 }
 
-/// Takes note of the end of a turn of this VM.
+/// Records the tokens that a turn of this VM used, and releases the rest of its cover.
 pub(crate) fn settle(tick: &mut Tick<'_>, call: &Call) {
     let Some(relay) = &call.relay else {
         return;
@@ -282,7 +284,7 @@
     }
 }
 
-/// Learns what another VM has used.
+/// Merges the use that another VM reports of a program.
 pub(crate) fn learn(tick: &mut Tick<'_>, vm: &VmName, incarnation: Incarnation, used: &ProgramUse) {
     let now_us = tick.now_us;
     let row = touch(tick, &used.program, DEFAULT_KEEP_MS * 1_000);
@@ -296,7 +298,7 @@
     }
 }
 
-/// Takes over a program from the state of another VM.
+/// Merges the state of a program from the snapshot of another VM.
 pub(crate) fn adopt(tick: &mut Tick<'_>, program: &ProgramSpent) {
     let row = touch(tick, &program.program, DEFAULT_KEEP_MS * 1_000);
     row.budget_tokens = row.budget_tokens.max(program.budget_tokens);
@@ -309,7 +311,7 @@
     }
 }
 
-/// Forgets a program that has had no turns for its retention.
+/// Removes a program that had no turns within its retention time, or checks again later.
 fn expire(tick: &mut Tick<'_>, program: ProgramKey) {
     let Some(row) = tick.tables.budgets.get(&program) else {
         return;
--- a/crates/core/src/systems/charges/mod.rs
+++ b/crates/core/src/systems/charges/mod.rs
@@ -1,9 +1,9 @@
-//! Charge records of calls that ran.
+//! Output of the charges of calls that ran.
 
 use super::Tick;
 use crate::output::{Charge, Output};
 
-/// What waits for this system.
+/// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub charges: Vec<Charge>,
@@ -15,7 +15,7 @@
     }
 }
 
-/// Runs the system.
+/// Emits all charges as outputs.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     for charge in std::mem::take(&mut tick.work.charges.charges) {
         tick.outputs.push(Output::Charge(charge));
