--- a/crates/core/src/config/host_route.rs
+++ b/crates/core/src/config/host_route.rs
@@ -89,7 +89,7 @@
     /// Selects a service by weight; the same `spread` always gives the same service.
     ///
     /// Returns `None` if the route has no backends.
-    pub fn backend(&self, spread: u64) -> Option<&ServiceName> {
+    pub fn select_backend(&self, spread: u64) -> Option<&ServiceName> {
         let total: u64 = self.backends.iter().map(|row| u64::from(row.weight)).sum();
         if total == 0 {
             return self.backends.first().map(|row| &row.service);
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -9,4 +9,4 @@
     UpstreamConfig,
 };
 pub use host_route::{Backend, CallerLimits, HostRoute, RouteKind};
-pub use settings::{Coordination, CoreSettings, PolicyParts, PolicyPreset, UpstreamChoice};
+pub use settings::{Coordination, CoreSettings, PolicyFeatures, PolicyPreset, UpstreamChoice};
--- a/crates/core/src/config/settings.rs
+++ b/crates/core/src/config/settings.rs
@@ -43,7 +43,7 @@
 ///
 /// The policy report disables features to measure what each contributes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PolicyParts {
+pub struct PolicyFeatures {
     /// Whether accounts are scheduled by the service that they have received.
     pub fair_sharing: bool,
     /// Whether the program with the least attained service is scheduled first.
@@ -54,7 +54,7 @@
     pub learned_limit: bool,
 }
 
-impl Default for PolicyParts {
+impl Default for PolicyFeatures {
     fn default() -> Self {
         Self {
             fair_sharing: true,
@@ -101,7 +101,7 @@
     pub preset: PolicyPreset,
     /// Features of the placement policy that are enabled.
     #[builder(default)]
-    pub policy: PolicyParts,
+    pub policy: PolicyFeatures,
     /// How the VMs of the fleet coordinate.
     #[builder(default)]
     pub coordination: Coordination,
@@ -116,19 +116,19 @@
     pub summary_ms: u64,
     /// Silence after which another VM no longer counts as one that shares the rates.
     #[builder(default = 700)]
-    pub peer_silent_ms: u64,
+    pub peer_timeout_ms: u64,
     /// Silence after which the state of another VM is removed.
     #[builder(default = 10_000)]
-    pub peer_forget_ms: u64,
+    pub peer_retention_ms: u64,
     /// Age of the last configuration read beyond which keys are no longer trusted.
     #[builder(default = 5_000)]
-    pub stale_config_ms: u64,
+    pub max_config_age_ms: u64,
     /// Time after a store outage for which upstreams that are missing from the list are kept.
     #[builder(default = 2_200)]
-    pub relist_ms: u64,
+    pub list_grace_ms: u64,
     /// Mean time between two tokens above which an upstream's call limit is lowered.
     #[builder(default = 30)]
-    pub token_target_ms: u64,
+    pub token_gap_target_ms: u64,
     /// Interval between heartbeats.
     #[builder(default = 500)]
     pub heartbeat_ms: u64,
@@ -173,7 +173,7 @@
     pub isolation_ms: u64,
     /// Timeout for a response from the owner of a pool.
     #[builder(default = 200)]
-    pub place_timeout_ms: u64,
+    pub placement_timeout_ms: u64,
     /// Longest wait of a call for an upstream.
     #[builder(default = 30_000)]
     pub queue_ms: u64,
@@ -195,12 +195,12 @@
     /// Converts a time to microseconds and extends it by 10% for clock drift.
     ///
     /// Two VMs never act as owner of the same thing while their clock rates differ by less.
-    pub fn with_margin_us(time_ms: u64) -> u64 {
+    pub fn with_clock_margin_us(time_ms: u64) -> u64 {
         time_ms * 1_100
     }
 
     /// Returns how long a new owner or home waits before it acts without a hand-over.
     pub fn takeover_wait_us(&self) -> u64 {
-        Self::with_margin_us(self.lease_ms)
+        Self::with_clock_margin_us(self.lease_ms)
     }
 }
--- a/crates/core/src/systems/admission/mod.rs
+++ b/crates/core/src/systems/admission/mod.rs
@@ -33,18 +33,18 @@
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.admission);
     for call in work.arrived {
-        arrive(tick, call);
+        handle_arrival(tick, call);
     }
     for call in work.abandoned {
         abandon(tick, call);
     }
     if work.halt {
-        halt(tick);
+        refuse_all(tick);
     }
 }
 
 /// The route of a call, resolved from its target.
-struct Route {
+struct ResolvedRoute {
     pool: PoolKey,
     /// Whether the call may run more than once.
     idempotent: bool,
@@ -61,16 +61,16 @@
 /// model or key.
 ///
 /// One that is missing from an older configuration may have been added since.
-const DENY_CONFIG_US: u64 = 2_000_000;
+const MAX_DENY_CONFIG_AGE_US: u64 = 2_000_000;
 
 /// Resolves and authenticates a new call, and refuses it or moves it to its first stage.
-fn arrive(tick: &mut Tick<'_>, new: NewCall) {
+fn handle_arrival(tick: &mut Tick<'_>, new: NewCall) {
     let id = new.id;
     let admitted = find_route(tick, &new).and_then(|route| {
         // On an open route, the key of a relayed call is ignored.
         let is_keyless = route.open && route.host.is_some();
         let key = new.key.as_ref().filter(|_| !is_keyless);
-        let account = find_account(tick, key, route.open)?;
+        let account = authenticate(tick, key, route.open)?;
         // Checked after the key, so that callers without one can't probe which contents are
         // quarantined.
         if tick.tables.quarantine.contains_key(&new.digest) {
@@ -81,8 +81,8 @@
     let (route, account) = match admitted {
         Ok(admitted) => admitted,
         Err(kind) => {
-            let kind = undenied(tick, &new, kind);
-            report(tick, id, kind, Execution::NotRun, None);
+            let kind = soften_denial(tick, &new, kind);
+            report_refusal(tick, id, kind, Execution::NotRun, None);
             return;
         }
     };
@@ -95,7 +95,7 @@
     };
     let needs_permit = !route.idempotent && route.host.is_none();
     if needs_permit && (program.is_none() || new.permit.is_none()) {
-        report(
+        report_refusal(
             tick,
             id,
             RefusalKind::PermitRequired,
@@ -106,10 +106,10 @@
     }
     let relay = route
         .host
-        .map(|host| relay(tick, &new, host, account.as_ref()));
-    if let Some(program) = stopped_program(tick, relay.as_deref()) {
+        .map(|host| build_relay(tick, &new, host, account.as_ref()));
+    if let Some(program) = find_stopped_program(tick, relay.as_deref()) {
         budgets::report_uncovered(tick, &program, id);
-        report(tick, id, RefusalKind::OverBudget, Execution::NotRun, None);
+        report_refusal(tick, id, RefusalKind::OverBudget, Execution::NotRun, None);
         return;
     }
     let begins_program = begins_program(tick, relay.as_deref());
@@ -144,18 +144,18 @@
     if has_account {
         tick.work.rates.calls.push(id);
     } else {
-        enter(tick, id, Stage::Home);
+        enter_stage(tick, id, Stage::Home);
     }
 }
 
 /// Refuses as `Isolated` instead of denying if the configuration is too old for a denial.
-fn undenied(tick: &Tick<'_>, new: &NewCall, kind: RefusalKind) -> RefusalKind {
+fn soften_denial(tick: &Tick<'_>, new: &NewCall, kind: RefusalKind) -> RefusalKind {
     let is_denial = matches!(
         kind,
         RefusalKind::RouteUnknown | RefusalKind::ModelUnknown | RefusalKind::KeyUnknown
     );
     let age_us = tick.tables.source.config.age_us(tick.now_us);
-    let is_old = age_us.is_none_or(|age_us| age_us > DENY_CONFIG_US);
+    let is_old = age_us.is_none_or(|age_us| age_us > MAX_DENY_CONFIG_AGE_US);
     if new.relayed.is_some() && is_denial && is_old {
         RefusalKind::Isolated
     } else {
@@ -166,7 +166,7 @@
 /// Returns the program of a turn if its budget is used up.
 ///
 /// Such a turn is refused before it counts against its account's rate.
-fn stopped_program(tick: &Tick<'_>, relay: Option<&Relay>) -> Option<ProgramKey> {
+fn find_stopped_program(tick: &Tick<'_>, relay: Option<&Relay>) -> Option<ProgramKey> {
     let turn = relay.filter(|relay| relay.budget_tokens.is_some())?;
     let program = turn.program.as_ref()?;
     let row = tick.tables.budgets.get(program)?;
@@ -184,7 +184,7 @@
 }
 
 /// Builds the state that only relayed calls have.
-fn relay(
+fn build_relay(
     tick: &Tick<'_>,
     new: &NewCall,
     route: Arc<HostRoute>,
@@ -218,13 +218,13 @@
 }
 
 /// Resolves the target of a call to its pool and route.
-fn find_route(tick: &Tick<'_>, new: &NewCall) -> Result<Route, RefusalKind> {
+fn find_route(tick: &Tick<'_>, new: &NewCall) -> Result<ResolvedRoute, RefusalKind> {
     match &new.target {
         Target::Host { host, path } => find_host_route(tick, new, host, path),
         Target::Model(model) => {
             let service = tick.tables.models.get(model);
             let service = service.ok_or(RefusalKind::ModelUnknown)?;
-            Ok(Route {
+            Ok(ResolvedRoute {
                 pool: PoolKey {
                     service: service.clone(),
                     model: Some(model.clone()),
@@ -243,7 +243,7 @@
             let route = config
                 .and_then(|config| config.route(method, path))
                 .ok_or(RefusalKind::RouteUnknown)?;
-            Ok(Route {
+            Ok(ResolvedRoute {
                 pool: PoolKey {
                     service: service.clone(),
                     model: None,
@@ -262,7 +262,7 @@
     new: &NewCall,
     host: &Arc<str>,
     path: &str,
-) -> Result<Route, RefusalKind> {
+) -> Result<ResolvedRoute, RefusalKind> {
     let tables = &*tick.tables;
     if tables.fleet.revision.0 == 0 {
         return Err(RefusalKind::NotConfigured);
@@ -274,7 +274,9 @@
         .ok_or(RefusalKind::RouteUnknown)?;
     let relayed = new.relayed.as_deref();
     let spread = relayed.map_or(0, |relayed| relayed.spread);
-    let service = route.backend(spread).ok_or(RefusalKind::RouteUnknown)?;
+    let service = route
+        .select_backend(spread)
+        .ok_or(RefusalKind::RouteUnknown)?;
     let config = tables.services.get(service);
     let config = config.ok_or(RefusalKind::RouteUnknown)?;
     let model = match &config.kind {
@@ -288,7 +290,7 @@
     if model.as_ref().is_some_and(|model| !config.offers(model)) {
         return Err(RefusalKind::ModelUnknown);
     }
-    Ok(Route {
+    Ok(ResolvedRoute {
         pool: PoolKey {
             service: service.clone(),
             model,
@@ -300,7 +302,7 @@
 }
 
 /// Returns the account of the presented key, or `None` if the route is open and no key is given.
-pub(crate) fn find_account(
+pub(crate) fn authenticate(
     tick: &Tick<'_>,
     key: Option<&PresentedKey>,
     open: bool,
@@ -326,7 +328,7 @@
 }
 
 /// Moves a call to a stage, or to the one required before it, and enqueues it for its system.
-pub(crate) fn enter(tick: &mut Tick<'_>, id: CallId, stage: Stage) {
+pub(crate) fn enter_stage(tick: &mut Tick<'_>, id: CallId, stage: Stage) {
     let Some(call) = tick.tables.calls.get_mut(&id) else {
         return;
     };
@@ -374,19 +376,19 @@
         outcomes::charge_last_run(tick, &call);
     }
     homes::end_turn(tick, &call, own, used_tokens, None);
-    budgets::settle(tick, &call);
+    budgets::settle_turn(tick, &call);
     let was_admitted = matches!(call.stage, Stage::Budget | Stage::Place);
     if was_admitted
         && own == Execution::NotRun
         && let Some(account) = call.account.as_ref().filter(|_| call.relay.is_some())
     {
-        rates::give_back(tick, account);
+        rates::refund_call(tick, account);
     }
-    report(tick, id, kind, ran, retry_after_ms);
+    report_refusal(tick, id, kind, ran, retry_after_ms);
 }
 
 /// Reports a refusal to the front end and the log.
-pub(crate) fn report(
+pub(crate) fn report_refusal(
     tick: &mut Tick<'_>,
     call: CallId,
     kind: RefusalKind,
@@ -405,7 +407,7 @@
 /// Refuses all open calls because the process stops.
 ///
 /// A call that runs on an upstream is charged by what is known of it.
-fn halt(tick: &mut Tick<'_>) {
+fn refuse_all(tick: &mut Tick<'_>) {
     let open: Vec<CallId> = tick.tables.calls.iter().map(|(id, _)| *id).collect();
     for id in open {
         let Some(call) = tick.tables.calls.get_mut(&id) else {
--- a/crates/core/src/systems/budgets/mod.rs
+++ b/crates/core/src/systems/budgets/mod.rs
@@ -12,7 +12,7 @@
 use crate::tables::{Budget, BudgetRecord, Call, Knowledge, Relay, Stage, Timer, Verdict};
 
 /// How long a program is kept after its last turn if its route sets no time.
-const DEFAULT_KEEP_MS: u64 = 60_000;
+const DEFAULT_RETENTION_MS: u64 = 60_000;
 
 /// `retry-after` of a turn that is refused because the store did not answer.
 const RETRY_AFTER_MS: u64 = 300;
@@ -24,25 +24,25 @@
     pub calls: Vec<CallId>,
     /// Tokens reserved for each program: 0 if its budget is used up, `None` if the store did not
     /// answer.
-    pub reserved: Vec<(ProgramKey, Option<u64>)>,
-    pub due: Vec<Timer>,
+    pub reservations: Vec<(ProgramKey, Option<u64>)>,
+    pub due_timers: Vec<Timer>,
 }
 
 impl Work {
     pub fn is_empty(&self) -> bool {
-        self.calls.is_empty() && self.reserved.is_empty() && self.due.is_empty()
+        self.calls.is_empty() && self.reservations.is_empty() && self.due_timers.is_empty()
     }
 }
 
 /// Handles reservations and due timers, then covers turns once earlier programs are known.
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.budgets);
-    for (program, tokens) in work.reserved {
-        reserved(tick, &program, tokens);
+    for (program, tokens) in work.reservations {
+        handle_reservation(tick, &program, tokens);
     }
-    for timer in work.due {
+    for timer in work.due_timers {
         if let Timer::BudgetIdle(program) = timer {
-            expire(tick, program);
+            expire_program(tick, program);
         }
     }
     if tick.tables.source.knowledge == Knowledge::Pending {
@@ -50,12 +50,12 @@
         return;
     }
     for call in work.calls {
-        request(tick, call);
+        cover_turn(tick, call);
     }
 }
 
 /// Records that earlier programs are known and resumes the turns that waited for this.
-pub(crate) fn know(tick: &mut Tick<'_>, losses: u32, programs: usize) {
+pub(crate) fn mark_programs_known(tick: &mut Tick<'_>, losses: u32, programs: usize) {
     let source = &mut tick.tables.source;
     source.knowledge = Knowledge::Since {
         losses,
@@ -68,15 +68,15 @@
 }
 
 /// Restores a program from its record in the store after all VMs lost their state.
-pub(crate) fn adopt_record(tick: &mut Tick<'_>, record: &BudgetRecord) {
-    let row = touch(tick, &record.program, DEFAULT_KEEP_MS * 1_000);
+pub(crate) fn restore_record(tick: &mut Tick<'_>, record: &BudgetRecord) {
+    let row = get_or_create_row(tick, &record.program, DEFAULT_RETENTION_MS * 1_000);
     row.budget_tokens = record.budget_tokens;
     row.has_record = true;
     row.is_stopped |= record.is_stopped;
 }
 
 /// Covers a turn by its program's budget, requests a reservation for it, or refuses it.
-fn request(tick: &mut Tick<'_>, id: CallId) {
+fn cover_turn(tick: &mut Tick<'_>, id: CallId) {
     let is_waiting = |call: &Call| call.stage == Stage::Budget;
     if !tick.tables.calls.get(&id).is_some_and(is_waiting) {
         return;
@@ -84,7 +84,7 @@
     let Some((program, line, turn_tokens)) = turn_of(tick, id) else {
         return;
     };
-    open(tick, id, &program, line);
+    open_program(tick, id, &program, line);
     let Some(row) = tick.tables.budgets.get_mut(&program) else {
         return;
     };
@@ -102,7 +102,7 @@
                 budget_tokens,
                 cover,
             });
-            admission::enter(tick, id, Stage::Place);
+            admission::enter_stage(tick, id, Stage::Place);
         }
         Verdict::NeedsReservation { needed_tokens } => {
             row.waiting.push(id);
@@ -118,7 +118,7 @@
                 }));
             }
         }
-        Verdict::UsedUp => stop(tick, &program, id),
+        Verdict::UsedUp => stop_program(tick, &program, id),
     }
 }
 
@@ -138,7 +138,7 @@
 ///
 /// A new program is announced to the other VMs at once, so that they can distinguish its
 /// sub-agents from its main line of turns.
-fn open(tick: &mut Tick<'_>, id: CallId, program: &ProgramKey, line: Option<u64>) {
+fn open_program(tick: &mut Tick<'_>, id: CallId, program: &ProgramKey, line: Option<u64>) {
     let now_us = tick.now_us;
     let relay = tick
         .tables
@@ -149,9 +149,9 @@
         return;
     };
     let budget_tokens = relay.budget_tokens.unwrap_or_default();
-    let keep_us = relay.route.program_keep_ms.unwrap_or(DEFAULT_KEEP_MS) * 1_000;
+    let keep_us = relay.route.program_keep_ms.unwrap_or(DEFAULT_RETENTION_MS) * 1_000;
     let round = tick.tables.peering.next_round();
-    let row = touch(tick, program, keep_us);
+    let row = get_or_create_row(tick, program, keep_us);
     row.used_us = now_us;
     if row.budget_tokens > 0 {
         return;
@@ -165,7 +165,11 @@
 }
 
 /// Returns the row of a program; creates the row and its expiry timer if it is missing.
-fn touch<'a>(tick: &'a mut Tick<'_>, program: &ProgramKey, keep_us: u64) -> &'a mut Budget {
+fn get_or_create_row<'a>(
+    tick: &'a mut Tick<'_>,
+    program: &ProgramKey,
+    keep_us: u64,
+) -> &'a mut Budget {
     let now_us = tick.now_us;
     if !tick.tables.budgets.contains_key(program) {
         let timer = Timer::BudgetIdle(program.clone());
@@ -185,7 +189,7 @@
 }
 
 /// Records a reservation and continues the turns that waited for it.
-fn reserved(tick: &mut Tick<'_>, program: &ProgramKey, tokens: Option<u64>) {
+fn handle_reservation(tick: &mut Tick<'_>, program: &ProgramKey, tokens: Option<u64>) {
     let round = tick.tables.peering.next_round();
     let Some(row) = tick.tables.budgets.get_mut(program) else {
         return;
@@ -207,8 +211,8 @@
             continue;
         }
         match tokens {
-            Some(0) => stop(tick, program, id),
-            Some(_) => request(tick, id),
+            Some(0) => stop_program(tick, program, id),
+            Some(_) => cover_turn(tick, id),
             None => {
                 report_uncovered(tick, program, id);
                 let retry = Some(RETRY_AFTER_MS);
@@ -233,7 +237,7 @@
 }
 
 /// Refuses a turn that exceeds the budget and stops its program for good.
-fn stop(tick: &mut Tick<'_>, program: &ProgramKey, id: CallId) {
+fn stop_program(tick: &mut Tick<'_>, program: &ProgramKey, id: CallId) {
     report_uncovered(tick, program, id);
     let round = tick.tables.peering.next_round();
     if let Some(row) = tick.tables.budgets.get_mut(program)
@@ -260,7 +264,7 @@
 }
 
 /// Records the tokens that a turn of this VM used, and releases the rest of its cover.
-pub(crate) fn settle(tick: &mut Tick<'_>, call: &Call) {
+pub(crate) fn settle_turn(tick: &mut Tick<'_>, call: &Call) {
     let Some(relay) = &call.relay else {
         return;
     };
@@ -285,9 +289,14 @@
 }
 
 /// Merges the use that another VM reports of a program.
-pub(crate) fn learn(tick: &mut Tick<'_>, vm: &VmName, incarnation: Incarnation, used: &ProgramUse) {
+pub(crate) fn merge_use(
+    tick: &mut Tick<'_>,
+    vm: &VmName,
+    incarnation: Incarnation,
+    used: &ProgramUse,
+) {
     let now_us = tick.now_us;
-    let row = touch(tick, &used.program, DEFAULT_KEEP_MS * 1_000);
+    let row = get_or_create_row(tick, &used.program, DEFAULT_RETENTION_MS * 1_000);
     row.set_spent(vm, incarnation, used.tokens);
     row.main_line = row.main_line.or(used.main_line);
     row.is_stopped |= used.is_stopped;
@@ -299,8 +308,8 @@
 }
 
 /// Merges the state of a program from the snapshot of another VM.
-pub(crate) fn adopt(tick: &mut Tick<'_>, program: &ProgramSpent) {
-    let row = touch(tick, &program.program, DEFAULT_KEEP_MS * 1_000);
+pub(crate) fn merge_snapshot(tick: &mut Tick<'_>, program: &ProgramSpent) {
+    let row = get_or_create_row(tick, &program.program, DEFAULT_RETENTION_MS * 1_000);
     row.budget_tokens = row.budget_tokens.max(program.budget_tokens);
     row.main_line = row.main_line.or(program.main_line);
     row.is_stopped |= program.is_stopped;
@@ -312,7 +321,7 @@
 }
 
 /// Removes a program that had no turns within its retention time, or checks again later.
-fn expire(tick: &mut Tick<'_>, program: ProgramKey) {
+fn expire_program(tick: &mut Tick<'_>, program: ProgramKey) {
     let Some(row) = tick.tables.budgets.get(&program) else {
         return;
     };
--- a/crates/core/src/systems/homes/entry.rs
+++ b/crates/core/src/systems/homes/entry.rs
@@ -126,7 +126,7 @@
     schedule_retry(tick, id, wait_us.max(MIN_EXTENSION_INTERVAL_US));
     witness::record_state(tick, began.state);
     if awaits_home {
-        admission::enter(tick, id, Stage::Place);
+        admission::enter_stage(tick, id, Stage::Place);
     }
 }
 
--- a/crates/core/src/systems/homes/requests.rs
+++ b/crates/core/src/systems/homes/requests.rs
@@ -14,7 +14,7 @@
 /// Authenticates a request and sends it to the home.
 pub(super) fn submit(tick: &mut Tick<'_>, request: ProgramRequest) {
     let id = request.id;
-    let account = match admission::find_account(tick, request.key.as_ref(), false) {
+    let account = match admission::authenticate(tick, request.key.as_ref(), false) {
         Ok(Some(account)) => account,
         Ok(None) => return refuse(tick, id, RefusalKind::KeyMissing, None),
         Err(kind) => return refuse(tick, id, kind, None),
@@ -98,7 +98,7 @@
         return;
     }
     if tick.tables.homes.requests.remove(&denied.call).is_some() {
-        admission::report(
+        admission::report_refusal(
             tick,
             denied.call,
             denied.kind,
@@ -110,5 +110,5 @@
 
 /// Refuses a request; requests are always reported as not run.
 fn refuse(tick: &mut Tick<'_>, id: CallId, kind: RefusalKind, retry_after_ms: Option<u64>) {
-    admission::report(tick, id, kind, Execution::NotRun, retry_after_ms);
+    admission::report_refusal(tick, id, kind, Execution::NotRun, retry_after_ms);
 }
--- a/crates/core/src/systems/membership/leases.rs
+++ b/crates/core/src/systems/membership/leases.rs
@@ -90,7 +90,7 @@
     if !is_promising(tick) {
         return false;
     }
-    let kept_us = CoreSettings::with_margin_us(tick.settings.lease_ms);
+    let kept_us = CoreSettings::with_clock_margin_us(tick.settings.lease_ms);
     let membership = &mut tick.tables.membership;
     let is_first = membership.promised_until_us < tick.now_us;
     membership.promised_until_us = tick.now_us + kept_us;
--- a/crates/core/src/systems/membership/platform.rs
+++ b/crates/core/src/systems/membership/platform.rs
@@ -124,6 +124,6 @@
         .is_some();
     let outside_us = if is_member { 0 } else { OUTSIDER_DELAY_US };
     let spread_us = hash_name(settings.vm.as_str(), REPLACEMENT) % SPREAD_US;
-    let wait_us = CoreSettings::with_margin_us(settings.lease_ms);
+    let wait_us = CoreSettings::with_clock_margin_us(settings.lease_ms);
     Some(since_us + wait_us + outside_us + spread_us)
 }
--- a/crates/core/src/systems/outcomes/retries.rs
+++ b/crates/core/src/systems/outcomes/retries.rs
@@ -74,7 +74,7 @@
             {
                 call.avoid.push(upstream);
             }
-            admission::enter(tick, attempt.call, Stage::Place);
+            admission::enter_stage(tick, attempt.call, Stage::Place);
         }
         Err(reason) => {
             tick.decide(Decision::NoRetry {
--- a/crates/core/src/systems/peers/group.rs
+++ b/crates/core/src/systems/peers/group.rs
@@ -12,8 +12,8 @@
 /// Marks VMs that have become silent, removes those that have stayed silent and counts the others.
 pub(super) fn review(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
-    let silent_us = tick.settings.peer_silent_ms * 1_000;
-    let forget_us = tick.settings.peer_forget_ms * 1_000;
+    let silent_us = tick.settings.peer_timeout_ms * 1_000;
+    let forget_us = tick.settings.peer_retention_ms * 1_000;
     let mut silenced: Vec<VmName> = Vec::new();
     let mut forgotten: Vec<VmName> = Vec::new();
     for (vm, peer) in tick.tables.peering.peers.iter() {
@@ -89,7 +89,7 @@
     let rank = peers().filter(|(vm, peer)| is_before(vm, peer)).count() as u64;
     (peering.known_vms, peering.heard_vms, peering.rank) = (known_vms, heard_vms, rank);
     if peering.part() != before {
-        rates::rescale(tick);
+        rates::rescale_buckets(tick);
         let (heard_vms, known_vms) = tick.tables.peering.part();
         tick.decide(Decision::GroupChanged {
             heard_vms,
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -47,7 +47,7 @@
     note_admitted(tick, &summary);
     group::replace_running(tick, &vm, summary.running);
     for program in &summary.programs {
-        budgets::learn(tick, &vm, summary.incarnation, program);
+        budgets::merge_use(tick, &vm, summary.incarnation, program);
     }
     for (digest, crashes) in &summary.suspects {
         outcomes::raise_crash_count(tick, *digest, *crashes);
@@ -146,7 +146,7 @@
         let calls = total.saturating_sub(*known);
         *known = (*known).max(*total);
         if peer.is_counted {
-            rates::spend(tick, account, calls * NCALLS_PER_CALL);
+            rates::debit_remote_calls(tick, account, calls * NCALLS_PER_CALL);
         }
     }
     if let Some(peer) = tick.tables.peering.peers.get_mut(&summary.from) {
@@ -198,8 +198,8 @@
         && tick.tables.source.knowledge == Knowledge::Pending
     {
         for program in &snapshot.programs {
-            budgets::adopt(tick, program);
+            budgets::merge_snapshot(tick, program);
         }
-        budgets::know(tick, losses, snapshot.programs.len());
+        budgets::mark_programs_known(tick, losses, snapshot.programs.len());
     }
 }
--- a/crates/core/src/systems/placement/entry.rs
+++ b/crates/core/src/systems/placement/entry.rs
@@ -110,7 +110,7 @@
 
 /// Schedules a check for the pool owner's answer after a number of request timeouts.
 fn schedule_answer_check(tick: &mut Tick<'_>, attempt: AttemptId, timeouts: u64) {
-    let due_us = tick.now_us + timeouts * tick.settings.place_timeout_ms * 1_000;
+    let due_us = tick.now_us + timeouts * tick.settings.placement_timeout_ms * 1_000;
     if let Some(call) = tick.tables.calls.get_mut(&attempt.call) {
         call.place.check_us = due_us;
     }
@@ -235,7 +235,7 @@
         if call.is_some_and(|call| tick.now_us >= valid_until_us(call)) {
             // The home has to confirm the turn again before the call may start.
             release_unused(tick, pool, attempt, assignment.0);
-            admission::enter(tick, attempt.call, Stage::Home);
+            admission::enter_stage(tick, attempt.call, Stage::Home);
             return;
         }
         dispatch(tick, attempt, assignment);
@@ -446,7 +446,7 @@
         return;
     };
     if owner != tick.settings.vm {
-        let due_us = tick.now_us + tick.settings.place_timeout_ms * 1_000;
+        let due_us = tick.now_us + tick.settings.placement_timeout_ms * 1_000;
         tick.tables.timers.set(due_us, Timer::FinishWait(attempt));
     }
     tick.send(&owner, PlacementMessage::Finish(Box::new(finish)));
--- a/crates/core/src/systems/placement/limits.rs
+++ b/crates/core/src/systems/placement/limits.rs
@@ -36,7 +36,7 @@
 /// Updates an upstream's speed and limit from a complete attempt.
 pub(super) fn record_completion(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
     let now_us = tick.now_us;
-    let target_us = tick.settings.token_target_ms * 1_000;
+    let target_us = tick.settings.token_gap_target_ms * 1_000;
     let Some(row) = tick.tables.upstreams.get_mut(&finish.upstream) else {
         return;
     };
--- a/crates/core/src/systems/rates/division.rs
+++ b/crates/core/src/systems/rates/allocation.rs
@@ -6,24 +6,24 @@
 /// The lowest weight of a holder is the account's rate divided by this.
 ///
 /// This is 2%, as in section 4.5 of `docs/design.md`.
-const SMALLEST_PART: u64 = 50;
+const MIN_WEIGHT_DIVISOR: u64 = 50;
 
 /// A share that exceeds its target by at most its size divided by this isn't shrunk.
 ///
 /// Without this hysteresis, each small change of demand would shrink some shares, and each
 /// shrunk share needs a confirmation.
-const STEADY_PART: u64 = 8;
+const HYSTERESIS_DIVISOR: u64 = 8;
 
 /// Returns the weight of a holder: its offered rate, plus the rate that admits its waiting calls
 /// within a second.
-pub(super) fn weight(demand: &Demand, rate_mcalls_per_s: u64) -> u64 {
+pub(super) fn holder_weight(demand: &Demand, rate_mcalls_per_s: u64) -> u64 {
     let waiting_mcalls_per_s = demand.waiting_calls.saturating_mul(1_000);
     let wanted = demand.wanted_mcalls_per_s + waiting_mcalls_per_s;
-    wanted.max(rate_mcalls_per_s / SMALLEST_PART).max(1)
+    wanted.max(rate_mcalls_per_s / MIN_WEIGHT_DIVISOR).max(1)
 }
 
 /// Returns a holder's share of the account's rate and burst in proportion to its weight.
-pub(super) fn target(row: &Lending, loan: &Loan) -> Limits {
+pub(super) fn target_limits(row: &Lending, loan: &Loan) -> Limits {
     Limits {
         rate_mcalls_per_s: scale(row.limits.rate_mcalls_per_s, loan.weight, row.weight),
         burst_ncalls: scale(row.limits.burst_ncalls, loan.weight, row.weight),
@@ -34,8 +34,8 @@
 ///
 /// A share whose burst is below one call isn't lent; its holder receives single calls from the
 /// reserve instead.
-pub(super) fn next(row: &Lending, loan: &Loan) -> Limits {
-    let target = target(row, loan);
+pub(super) fn next_limits(row: &Lending, loan: &Loan) -> Limits {
+    let target = target_limits(row, loan);
     let counted = loan.counted();
     let keeps = !row.is_over_limits();
     // While a grant is unconfirmed, the burst that it frees is kept for the calls that return
@@ -46,13 +46,13 @@
         counted.burst_ncalls + row.reserve.burst_ncalls
     };
     let next = Limits {
-        rate_mcalls_per_s: step(
+        rate_mcalls_per_s: apply_hysteresis(
             target.rate_mcalls_per_s,
             loan.granted.rate_mcalls_per_s,
             counted.rate_mcalls_per_s + row.reserve.rate_mcalls_per_s,
             keeps,
         ),
-        burst_ncalls: step(
+        burst_ncalls: apply_hysteresis(
             target.burst_ncalls,
             loan.granted.burst_ncalls,
             most_ncalls,
@@ -68,8 +68,8 @@
 /// Returns the limits of a grant that recalls some calls.
 ///
 /// The burst shrinks by as much, so that the reserve can hold the calls that are returned.
-pub(super) fn recalled(row: &Lending, loan: &Loan, recall_ncalls: u64) -> Limits {
-    let next = next(row, loan);
+pub(super) fn limits_after_recall(row: &Lending, loan: &Loan, recall_ncalls: u64) -> Limits {
+    let next = next_limits(row, loan);
     let granted_ncalls = loan.granted.burst_ncalls;
     let left_ncalls = granted_ncalls.saturating_sub(recall_ncalls);
     Limits {
@@ -79,8 +79,8 @@
 }
 
 /// Returns the target, or `granted` if that is only slightly higher, but no more than `most`.
-fn step(target: u64, granted: u64, most: u64, keeps: bool) -> u64 {
-    let is_near = target <= granted && granted - target <= granted / STEADY_PART;
+fn apply_hysteresis(target: u64, granted: u64, most: u64, keeps: bool) -> u64 {
+    let is_near = target <= granted && granted - target <= granted / HYSTERESIS_DIVISOR;
     let next = if keeps && is_near { granted } else { target };
     next.min(most)
 }
@@ -89,7 +89,7 @@
 ///
 /// It covers the holder's waiting calls, its weighted part of the reserve as far as its bucket
 /// has room, and the part of the reserve that belongs to its additional burst.
-pub(super) fn calls(row: &Lending, loan: &Loan, next: Limits, now_us: u64) -> u64 {
+pub(super) fn ncalls_to_move(row: &Lending, loan: &Loan, next: Limits, now_us: u64) -> u64 {
     let level_ncalls = loan.level_at_ncalls(now_us);
     let free_ncalls = row.reserve.level_ncalls;
     let counted_ncalls = loan.counted().burst_ncalls;
@@ -97,7 +97,7 @@
     let along_ncalls = scale(free_ncalls, grown_ncalls, row.reserve.burst_ncalls);
     let part_ncalls = scale(free_ncalls, loan.weight, row.weight);
     let room_ncalls = next.burst_ncalls.saturating_sub(level_ncalls);
-    needed(loan, level_ncalls, free_ncalls)
+    needed_ncalls(loan, level_ncalls, free_ncalls)
         .max(along_ncalls)
         .max(part_ncalls.min(room_ncalls))
         .min(free_ncalls)
@@ -105,7 +105,7 @@
 
 /// Returns what the holder lacks to admit as many waiting calls as its level and the free calls
 /// together allow.
-fn needed(loan: &Loan, level_ncalls: u64, free_ncalls: u64) -> u64 {
+fn needed_ncalls(loan: &Loan, level_ncalls: u64, free_ncalls: u64) -> u64 {
     let wanted_ncalls = loan.waiting_calls.saturating_mul(NCALLS_PER_CALL);
     let reached_ncalls = wanted_ncalls.min(level_ncalls + free_ncalls);
     let whole_ncalls = reached_ncalls / NCALLS_PER_CALL * NCALLS_PER_CALL;
--- a/crates/core/src/systems/rates/calls.rs
+++ b/crates/core/src/systems/rates/calls.rs
@@ -13,24 +13,24 @@
 const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Lowest `retry-after` of a relayed call, whose caller retries only once.
-const RELAY_RETRY_AFTER_MS: u64 = 300;
+const MIN_RELAY_RETRY_AFTER_MS: u64 = 300;
 
 /// A call that begins a program waits at most its route's objective divided by this.
-const BEGIN_WAIT_PART: u64 = 5;
+const BEGIN_WAIT_DIVISOR: u64 = 5;
 
 /// A relayed call waits at most the time to its deadline divided by this.
-const RELAY_WAIT_PART: u64 = 4;
+const RELAY_WAIT_DIVISOR: u64 = 4;
 
 /// A call whose rate refills soon waits longer by `rate_wait_ms` divided by this.
-const REFILL_WAIT_PART: u64 = 2;
+const REFILL_WAIT_DIVISOR: u64 = 2;
 
 /// Longest wait of a call while the account's owner does not answer or is taking over.
 ///
 /// A takeover after a crash lasts for suspicion, lease and grant: 2 s + 1.1 x 6 s.
-const OWNER_WAIT_US: u64 = 10_000_000;
+const MAX_OWNER_WAIT_US: u64 = 10_000_000;
 
 /// Admits a call if its account's share holds one, or else enqueues it.
-pub(super) fn request(tick: &mut Tick<'_>, id: CallId) {
+pub(super) fn admit_or_queue(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
     let Some(account) = account_of(tick, id) else {
         return;
@@ -46,16 +46,16 @@
         .get(&id)
         .is_some_and(|call| call.begins_program);
     share.queue_mut(begins).push_back(id);
-    serve(tick, &account);
+    serve_waiting(tick, &account);
     if is_waiting(tick, id) {
         let due_us = wait_end_us(tick, id);
         tick.tables.timers.set(due_us, Timer::RateWait(id));
-        wait(tick, &account);
+        schedule_refill(tick, &account);
     }
 }
 
 /// Admits waiting calls once the bucket is expected to hold a call again.
-pub(super) fn refilled(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn handle_refill_due(tick: &mut Tick<'_>, account: &AccountName) {
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
@@ -63,8 +63,8 @@
         return;
     }
     share.refill_due_us = 0;
-    serve(tick, account);
-    wait(tick, account);
+    serve_waiting(tick, account);
+    schedule_refill(tick, account);
 }
 
 /// Returns when the wait of a call for its rate times out.
@@ -75,17 +75,17 @@
     let call = tick.tables.calls.get(&id);
     if let Some((call, relay)) = call.and_then(|call| Some((call, call.relay.as_ref()?))) {
         let left_us = relay.deadline_us.saturating_sub(tick.now_us);
-        wait_us = wait_us.min(left_us / RELAY_WAIT_PART);
+        wait_us = wait_us.min(left_us / RELAY_WAIT_DIVISOR);
         // Refusing the first call of a program loses no earlier turns, so it can be retried later.
         if call.begins_program {
-            wait_us = wait_us.min(relay.route.objective_ms * 1_000 / BEGIN_WAIT_PART);
+            wait_us = wait_us.min(relay.route.objective_ms * 1_000 / BEGIN_WAIT_DIVISOR);
         }
     }
     tick.now_us + wait_us
 }
 
 /// Admits waiting calls while the share holds calls, those that begin a program last.
-pub(super) fn serve(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn serve_waiting(tick: &mut Tick<'_>, account: &AccountName) {
     serve_queue(tick, account, false);
     let others = tick.tables.shares.get(account);
     if others.is_some_and(|share| share.waiting.is_empty()) {
@@ -97,7 +97,7 @@
 fn serve_queue(tick: &mut Tick<'_>, account: &AccountName, begins: bool) {
     let now_us = tick.now_us;
     loop {
-        skip_gone(tick, account, begins);
+        remove_ended_calls(tick, account, begins);
         let Some(share) = tick.tables.shares.get_mut(account) else {
             return;
         };
@@ -114,7 +114,7 @@
 }
 
 /// Schedules the next attempt to admit waiting calls, and requests a grant if it is needed.
-pub(super) fn wait(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn schedule_refill(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
@@ -134,7 +134,7 @@
         tick.tables.timers.set(ready_us, timer);
     }
     if is_owned {
-        holder::starve(tick, account, ready_us);
+        holder::request_grant_if_starved(tick, account, ready_us);
     }
 }
 
@@ -147,23 +147,24 @@
         account: account.clone(),
         waited_us: tick.now_us.saturating_sub(arrived_us),
     });
-    admission::enter(tick, id, Stage::Home);
+    admission::enter_stage(tick, id, Stage::Home);
 }
 
 /// Refuses a call whose wait has timed out, or extends the wait.
-pub(super) fn expire(tick: &mut Tick<'_>, id: CallId) {
+pub(super) fn handle_wait_timeout(tick: &mut Tick<'_>, id: CallId) {
     if !is_waiting(tick, id) {
         return;
     }
     let Some(account) = account_of(tick, id) else {
         return;
     };
-    let due_us = owner_wait_us(tick, id, &account).or_else(|| refill_wait_us(tick, id, &account));
+    let due_us =
+        owner_wait_end_us(tick, id, &account).or_else(|| refill_wait_end_us(tick, id, &account));
     if let Some(due_us) = due_us {
         tick.tables.timers.set(due_us, Timer::RateWait(id));
         return;
     }
-    report_no_room(tick, id, &account);
+    log_no_room(tick, id, &account);
     let call = tick.tables.calls.get(&id);
     let begins = call.is_some_and(|call| call.begins_program);
     let is_relayed = call.is_some_and(|call| call.relay.is_some());
@@ -174,7 +175,7 @@
         .and_then(|share| share.ready_in_us(begins, tick.now_us))
         .map_or(DEFAULT_RETRY_AFTER_MS, |us| us.div_ceil(1_000).max(1));
     let retry_after_ms = if is_relayed {
-        retry_after_ms.max(RELAY_RETRY_AFTER_MS)
+        retry_after_ms.max(MIN_RELAY_RETRY_AFTER_MS)
     } else {
         retry_after_ms
     };
@@ -185,11 +186,11 @@
         Execution::NotRun,
         Some(retry_after_ms),
     );
-    skip_gone(tick, &account, begins);
+    remove_ended_calls(tick, &account, begins);
 }
 
 /// Logs the state of the bucket for a call that is refused as over its account's rate.
-fn report_no_room(tick: &mut Tick<'_>, call: CallId, account: &AccountName) {
+fn log_no_room(tick: &mut Tick<'_>, call: CallId, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get(account) else {
         return;
@@ -210,9 +211,9 @@
 /// Returns the extended end of the wait if the owner does not answer or is taking over.
 ///
 /// Without a share of a settled owner, it is unknown whether the account is over its rate.
-fn owner_wait_us(tick: &Tick<'_>, id: CallId, account: &AccountName) -> Option<u64> {
+fn owner_wait_end_us(tick: &Tick<'_>, id: CallId, account: &AccountName) -> Option<u64> {
     let share = tick.tables.shares.get(account)?;
-    let until_us = tick.tables.calls.get(&id)?.arrived_us + OWNER_WAIT_US;
+    let until_us = tick.tables.calls.get(&id)?.arrived_us + MAX_OWNER_WAIT_US;
     if share.pooled.is_some() {
         return None;
     }
@@ -223,19 +224,19 @@
 /// Returns the extended end of the wait if the bucket soon holds a call for the first in line.
 ///
 /// If refused, its caller would retry at about the time at which the call is admitted.
-fn refill_wait_us(tick: &Tick<'_>, id: CallId, account: &AccountName) -> Option<u64> {
+fn refill_wait_end_us(tick: &Tick<'_>, id: CallId, account: &AccountName) -> Option<u64> {
     let share = tick.tables.shares.get(account)?;
     if share.pooled.is_some() || share.waiting.front() != Some(&id) {
         return None;
     }
     let wait_us = tick.settings.rate_wait_ms * 1_000;
-    let last_us = tick.tables.calls.get(&id)?.arrived_us + wait_us + wait_us / REFILL_WAIT_PART;
+    let last_us = tick.tables.calls.get(&id)?.arrived_us + wait_us + wait_us / REFILL_WAIT_DIVISOR;
     let ready_us = tick.now_us + share.ready_in_us(false, tick.now_us)?.max(1);
     (ready_us <= last_us).then_some(ready_us)
 }
 
 /// Removes refused and abandoned calls from the front of a queue.
-fn skip_gone(tick: &mut Tick<'_>, account: &AccountName, begins: bool) {
+fn remove_ended_calls(tick: &mut Tick<'_>, account: &AccountName, begins: bool) {
     let tables = &mut *tick.tables;
     let Some(share) = tables.shares.get_mut(account) else {
         return;
--- a/crates/core/src/systems/rates/holder.rs
+++ b/crates/core/src/systems/rates/holder.rs
@@ -7,19 +7,19 @@
 use crate::tables::{Bucket, Held, Share, Timer};
 
 /// Time after the last call at which a share is released; see section 4.5 of `docs/design.md`.
-const IDLE_US: u64 = 5_000_000;
+const IDLE_TIMEOUT_US: u64 = 5_000_000;
 
 /// Renewals of a share within the validity of a grant.
 ///
 /// With 8, grants outlive a crashed owner by at least 7/8 of `grant_ms`, 2.6 s, and suspicion
 /// takes 2 s. With 3, most shares expired before the new owner could adopt them.
-const RENEWALS: u64 = 8;
+const RENEWALS_PER_GRANT: u64 = 8;
 
 /// No demand is sent for a call that this VM's own bucket admits within this time, or within
 /// this time of the last one.
 ///
 /// This is about two round trips between failure domains, so a demand would not be faster.
-const SOON_US: u64 = 5_000;
+const MIN_DEMAND_DELAY_US: u64 = 5_000;
 
 /// Initial pause before a demand is resent while calls wait.
 ///
@@ -30,7 +30,7 @@
 const MAX_RETRY_US: u64 = 500_000;
 
 /// Caps the share of an account at its published limits.
-pub(super) fn limits_changed(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn apply_limits(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let tables = &mut *tick.tables;
     let Some(limits) = tables.accounts.get(account).map(|row| row.limits()) else {
@@ -45,29 +45,33 @@
 }
 
 /// Requests a grant for waiting calls unless they are admitted soon or a demand is in flight.
-pub(super) fn starve(tick: &mut Tick<'_>, account: &AccountName, ready_us: Option<u64>) {
+pub(super) fn request_grant_if_starved(
+    tick: &mut Tick<'_>,
+    account: &AccountName,
+    ready_us: Option<u64>,
+) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    let is_soon = ready_us.is_some_and(|ready_us| ready_us <= now_us + SOON_US);
+    let is_soon = ready_us.is_some_and(|ready_us| ready_us <= now_us + MIN_DEMAND_DELAY_US);
     if share.retry_us > 0 || is_soon {
         return;
     }
     share.retry_us = FIRST_RETRY_US;
-    let next_us = share.asked_us + SOON_US;
+    let next_us = share.asked_us + MIN_DEMAND_DELAY_US;
     if share.demand_seq > 0 && next_us > now_us {
-        plan_ask(tick, account, next_us);
+        schedule_demand(tick, account, next_us);
         return;
     }
-    ask(tick, account);
+    request_grant(tick, account);
 }
 
 /// Sends a demand for a grant and schedules the next one.
-pub(super) fn ask(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn request_grant(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
-    let renew_us = tick.settings.grant_ms * 1_000 / RENEWALS;
-    send(tick, account, DemandKind::Ask);
+    let renew_us = tick.settings.grant_ms * 1_000 / RENEWALS_PER_GRANT;
+    send_demand(tick, account, DemandKind::Ask);
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
@@ -80,11 +84,11 @@
         due_us = now_us + share.retry_us.clamp(FIRST_RETRY_US, renew_us);
         share.retry_us = (share.retry_us * 2).clamp(FIRST_RETRY_US, MAX_RETRY_US);
     }
-    plan_ask(tick, account, due_us);
+    schedule_demand(tick, account, due_us);
 }
 
 /// Renews the share or resends the demand, or releases a share that is idle.
-pub(super) fn ask_due(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn renew_or_release(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
@@ -93,11 +97,11 @@
         return;
     }
     share.ask_due_us = 0;
-    let is_idle = share.waiting.is_empty() && now_us >= share.last_call_us + IDLE_US;
+    let is_idle = share.waiting.is_empty() && now_us >= share.last_call_us + IDLE_TIMEOUT_US;
     if is_idle {
         release(tick, account);
     } else {
-        ask(tick, account);
+        request_grant(tick, account);
     }
 }
 
@@ -113,14 +117,14 @@
     };
     share.bucket.refill(now_us);
     held.returned_ncalls += std::mem::take(&mut share.bucket.level_ncalls);
-    send(tick, account, DemandKind::Release);
+    send_demand(tick, account, DemandKind::Release);
     if let Some(share) = tick.tables.shares.get_mut(account) {
         share.drop_grant();
     }
 }
 
 /// Sends a demand with the state of this VM's share to the account's owner.
-fn send(tick: &mut Tick<'_>, account: &AccountName, kind: DemandKind) {
+fn send_demand(tick: &mut Tick<'_>, account: &AccountName, kind: DemandKind) {
     let now_us = tick.now_us;
     let epoch = tick.tables.view.epoch;
     let Some(owner) = owner_of(tick, account) else {
@@ -143,13 +147,13 @@
         wanted_mcalls_per_s: share.offered.rate_mcalls_per_s(now_us),
         waiting_calls: share.waiting.len() as u64,
         level_ncalls: bucket.level_ncalls,
-        held: share.held.map(|held| report(&held, &bucket)),
+        held: share.held.map(|held| describe_share(&held, &bucket)),
     };
     tick.send(&owner, RatesMessage::Demand(Box::new(demand)));
 }
 
 /// Returns the state of a share as it is reported to the owner.
-fn report(held: &Held, bucket: &Bucket) -> HeldShare {
+fn describe_share(held: &Held, bucket: &Bucket) -> HeldShare {
     HeldShare {
         id: held.id,
         applied_seq: held.applied_seq,
@@ -177,7 +181,7 @@
 }
 
 /// Applies a grant unless it is expired, outdated or for another incarnation.
-pub(super) fn granted(tick: &mut Tick<'_>, grant: &Grant) {
+pub(super) fn handle_grant(tick: &mut Tick<'_>, grant: &Grant) {
     let now_us = tick.now_us;
     let is_current = grant.holder == tick.settings.incarnation
         && grant.epoch >= tick.tables.view.epoch
@@ -186,24 +190,24 @@
         return;
     };
     share.drop_expired(now_us);
-    if !is_current || !is_next(share, grant) {
+    if !is_current || !is_newer(share, grant) {
         return;
     }
     let before = share.bucket;
     let deposit_ncalls = deposit(share, grant, now_us);
-    calls::serve(tick, &grant.account);
-    let returned_ncalls = settle(tick, grant, before.burst_ncalls);
+    calls::serve_waiting(tick, &grant.account);
+    let returned_ncalls = apply_burst(tick, grant, before.burst_ncalls);
     // The owner counts the larger of both grants as lent until the smaller one is confirmed.
     let is_smaller = grant.rate_mcalls_per_s < before.rate_mcalls_per_s
         || grant.burst_ncalls < before.burst_ncalls + deposit_ncalls;
     if is_smaller || returned_ncalls > 0 {
-        send(tick, &grant.account, DemandKind::Confirm);
+        send_demand(tick, &grant.account, DemandKind::Confirm);
     }
-    calls::wait(tick, &grant.account);
+    calls::schedule_refill(tick, &grant.account);
 }
 
 /// Returns whether a grant is newer than the one in force.
-fn is_next(share: &Share, grant: &Grant) -> bool {
+fn is_newer(share: &Share, grant: &Grant) -> bool {
     match &share.held {
         Some(held) if held.id == grant.id => grant.seq > held.applied_seq,
         _ => grant.answers_seq >= share.floor_seq,
@@ -212,7 +216,7 @@
 
 /// Applies the rate of a grant and deposits the calls that came with it.
 ///
-/// The burst is not enforced before [`settle`], so that waiting calls can use all of them.
+/// The burst is not enforced before [`apply_burst`], so that waiting calls can use all of them.
 fn deposit(share: &mut Share, grant: &Grant, now_us: u64) -> u64 {
     let is_same = share.held.is_some_and(|held| held.id == grant.id);
     if !is_same {
@@ -241,7 +245,7 @@
 }
 
 /// Applies the burst of a grant; returns how many calls go back as excess or recalled.
-fn settle(tick: &mut Tick<'_>, grant: &Grant, before_burst_ncalls: u64) -> u64 {
+fn apply_burst(tick: &mut Tick<'_>, grant: &Grant, before_burst_ncalls: u64) -> u64 {
     let tables = &mut *tick.tables;
     let limits = tables.accounts.get(&grant.account).map(|row| row.limits());
     let (Some(limits), Some(share)) = (limits, tables.shares.get_mut(&grant.account)) else {
@@ -255,7 +259,7 @@
     bucket.burst_ncalls = grant.burst_ncalls.min(limits.burst_ncalls);
     // A series of shrinking grants must not take away the fraction that a waiting call has gained.
     let kept_ncalls = if share.waiting.is_empty() {
-        kept(
+        scale_level(
             bucket.level_ncalls,
             before_burst_ncalls,
             bucket.burst_ncalls,
@@ -279,7 +283,7 @@
 ///
 /// A bucket that shrinks keeps its level in proportion: if it were full, the calls that its rate
 /// adds would be lost.
-fn kept(level_ncalls: u64, before_ncalls: u64, burst_ncalls: u64) -> u64 {
+fn scale_level(level_ncalls: u64, before_ncalls: u64, burst_ncalls: u64) -> u64 {
     if burst_ncalls >= before_ncalls {
         return level_ncalls.min(burst_ncalls);
     }
@@ -289,7 +293,7 @@
 }
 
 /// Schedules the next demand unless one is scheduled for an earlier time.
-fn plan_ask(tick: &mut Tick<'_>, account: &AccountName, due_us: u64) {
+fn schedule_demand(tick: &mut Tick<'_>, account: &AccountName, due_us: u64) {
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
--- a/crates/core/src/systems/rates/mod.rs
+++ b/crates/core/src/systems/rates/mod.rs
@@ -2,17 +2,17 @@
 //!
 //! The owner of an account lends shares of its rate and burst to the VMs that receive its calls.
 //! `calls` admits calls from this VM's share, `holder` requests shares and applies grants,
-//! `owner` lends shares, `division` computes their size, and `takeover` handles a change of
+//! `owner` lends shares, `allocation` computes their size, and `takeover` handles a change of
 //! owner. In a fleet without owners, `pooled` keeps a copy of every bucket on each VM instead.
 
+mod allocation;
 mod calls;
-mod division;
 mod holder;
 mod owner;
 mod pooled;
 mod takeover;
 
-pub(crate) use pooled::{give_back, rescale, spend};
+pub(crate) use pooled::{debit_remote_calls, refund_call, rescale_buckets};
 
 use super::{Sender, Tick};
 use crate::config::Coordination;
@@ -28,7 +28,7 @@
     /// New calls that count against their account's rate.
     pub calls: Vec<CallId>,
     pub messages: Vec<(Sender, RatesMessage)>,
-    pub due: Vec<Timer>,
+    pub due_timers: Vec<Timer>,
 }
 
 impl Work {
@@ -36,7 +36,7 @@
         self.accounts.is_empty()
             && self.calls.is_empty()
             && self.messages.is_empty()
-            && self.due.is_empty()
+            && self.due_timers.is_empty()
     }
 }
 
@@ -44,52 +44,52 @@
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let is_owned = tick.settings.coordination == Coordination::Owners;
     if is_owned {
-        takeover::follow_view(tick);
+        takeover::apply_view_change(tick);
     }
     let work = std::mem::take(&mut tick.work.rates);
     for account in work.accounts {
         if is_owned {
-            holder::limits_changed(tick, &account);
-            owner::limits_changed(tick, &account);
+            holder::apply_limits(tick, &account);
+            owner::apply_limits(tick, &account);
         } else {
-            pooled::limits_changed(tick, &account);
+            pooled::apply_limits(tick, &account);
         }
     }
     for (sender, message) in work.messages {
-        handle(tick, sender, message);
+        handle_message(tick, sender, message);
     }
-    for timer in work.due {
-        handle_due(tick, timer);
+    for timer in work.due_timers {
+        handle_timer(tick, timer);
     }
     for call in work.calls {
-        calls::request(tick, call);
+        calls::admit_or_queue(tick, call);
     }
 }
 
 /// Dispatches a message of another VM, or of this one, by its type.
-fn handle(tick: &mut Tick<'_>, sender: Sender, message: RatesMessage) {
+fn handle_message(tick: &mut Tick<'_>, sender: Sender, message: RatesMessage) {
     match message {
-        RatesMessage::Demand(demand) => owner::demanded(tick, sender, &demand),
-        RatesMessage::Grant(grant) => holder::granted(tick, &grant),
+        RatesMessage::Demand(demand) => owner::handle_demand(tick, sender, &demand),
+        RatesMessage::Grant(grant) => holder::handle_grant(tick, &grant),
         RatesMessage::ShareQuery { epoch, accounts } => {
-            takeover::queried(tick, &sender, epoch, &accounts);
+            takeover::handle_query(tick, &sender, epoch, &accounts);
         }
         RatesMessage::ShareReport { epoch, unlent } => {
-            takeover::reported(tick, sender, epoch, &unlent);
+            takeover::handle_report(tick, sender, epoch, &unlent);
         }
     }
 }
 
 /// Dispatches a due timer.
-fn handle_due(tick: &mut Tick<'_>, timer: Timer) {
+fn handle_timer(tick: &mut Tick<'_>, timer: Timer) {
     match timer {
-        Timer::RateRefill(account) => calls::refilled(tick, &account),
-        Timer::RateWait(call) => calls::expire(tick, call),
-        Timer::ShareAsk(account) => holder::ask_due(tick, &account),
-        Timer::LoanQueue(account) => owner::queue_due(tick, &account),
-        Timer::LoanEnd(account, holder, id) => owner::loan_ended(tick, &account, &holder, id),
-        Timer::TakeoverEnd(account) => takeover::end(tick, &account),
-        Timer::ShareQuery(epoch) => takeover::query(tick, epoch),
+        Timer::RateRefill(account) => calls::handle_refill_due(tick, &account),
+        Timer::RateWait(call) => calls::handle_wait_timeout(tick, call),
+        Timer::ShareAsk(account) => holder::renew_or_release(tick, &account),
+        Timer::LoanQueue(account) => owner::process_queue(tick, &account),
+        Timer::LoanEnd(account, holder, id) => owner::handle_loan_end(tick, &account, &holder, id),
+        Timer::TakeoverEnd(account) => takeover::end_takeover(tick, &account),
+        Timer::ShareQuery(epoch) => takeover::send_queries(tick, epoch),
         _ => {}
     }
 }
--- a/crates/core/src/systems/rates/owner.rs
+++ b/crates/core/src/systems/rates/owner.rs
@@ -3,7 +3,7 @@
 use smallvec::SmallVec;
 
 use super::super::{Sender, Tick};
-use super::{division, takeover};
+use super::{allocation, takeover};
 use crate::config::CoreSettings;
 use crate::ids::{AccountName, Epoch};
 use crate::message::{Demand, DemandKind, Grant, RatesMessage, ShareId};
@@ -17,16 +17,16 @@
 /// Smallest fraction of a call that is recalled.
 ///
 /// Holders hold fractions of calls; smaller ones from 8 holders don't add up to a call.
-const SMALLEST_RECALL_NCALLS: u64 = NCALLS_PER_CALL / 8;
+const MIN_RECALL_NCALLS: u64 = NCALLS_PER_CALL / 8;
 
 /// Most holders that are served from the queue for one input.
-const MAX_SERVED: usize = 16;
+const MAX_SERVED_HOLDERS: usize = 16;
 
 /// Pause before an expiry that waits for a confirmed lease is checked again.
 pub(super) const LEASE_RETRY_US: u64 = 100_000;
 
 /// Holders, mostly those to which a grant is sent.
-type Granted = SmallVec<[Holder; 8]>;
+type HolderList = SmallVec<[Holder; 8]>;
 
 /// Returns whether this VM may act as owner in an epoch: its lease is valid and the view current.
 pub(super) fn may_act(tick: &Tick<'_>, epoch: Epoch) -> bool {
@@ -37,13 +37,13 @@
 ///
 /// A share that expires may only be lent again then: otherwise a newer owner could have adopted
 /// and renewed it before it expired.
-pub(super) fn was_in_force(tick: &Tick<'_>, at_us: u64) -> bool {
+pub(super) fn is_confirmed_since(tick: &Tick<'_>, at_us: u64) -> bool {
     let confirmed_us = tick.tables.lease.confirmed_us;
     confirmed_us.is_some_and(|confirmed_us| confirmed_us >= at_us)
 }
 
 /// Handles a holder's demand: updates its loan and sends the grants that result.
-pub(super) fn demanded(tick: &mut Tick<'_>, sender: Sender, demand: &Demand) {
+pub(super) fn handle_demand(tick: &mut Tick<'_>, sender: Sender, demand: &Demand) {
     if !may_act(tick, demand.epoch) {
         return;
     }
@@ -54,63 +54,63 @@
     let Some(row) = tick.tables.loans.get(&demand.account) else {
         return;
     };
-    match position(row, &holder, demand) {
-        Position::Stale => return,
-        Position::Repeated => {
+    match classify_demand(row, &holder, demand) {
+        DemandStatus::Stale => return,
+        DemandStatus::Duplicate => {
             if demand.kind == DemandKind::Ask {
-                send(tick, &demand.account, [holder]);
+                send_grants(tick, &demand.account, [holder]);
             }
             return;
         }
-        Position::Next => {}
-        Position::Reported => takeover::adopt(tick, &holder, demand),
-        Position::New => open(tick, &holder, demand),
+        DemandStatus::Update => {}
+        DemandStatus::LentByOther => takeover::adopt_share(tick, &holder, demand),
+        DemandStatus::NoLoan => open_loan(tick, &holder, demand),
     }
     let now_us = tick.now_us;
     let Some(row) = tick.tables.loans.get_mut(&demand.account) else {
         return;
     };
-    let returned_ncalls = absorb(row, &holder, demand, now_us);
+    let returned_ncalls = apply_report(row, &holder, demand, now_us);
     if demand.kind == DemandKind::Release {
         row.remove(&holder, now_us);
     }
     row.deposit(returned_ncalls);
-    let mut granted = Granted::new();
+    let mut granted = HolderList::new();
     match demand.kind {
-        DemandKind::Ask => answer(row, &holder, now_us, &mut granted),
+        DemandKind::Ask => answer_ask(row, &holder, now_us, &mut granted),
         DemandKind::Confirm => {
-            give_up_spare(row, &holder, now_us, &mut granted);
+            recall_spare(row, &holder, now_us, &mut granted);
         }
         DemandKind::Release => {}
     }
     serve_queue(row, now_us, &mut granted);
-    send(tick, &demand.account, granted);
-    plan_queue(tick, &demand.account);
+    send_grants(tick, &demand.account, granted);
+    schedule_queue(tick, &demand.account);
 }
 
 /// How a demand relates to the loan of its holder.
-enum Position {
+enum DemandStatus {
     /// The demand is older than the last one, or reports an unknown share.
     Stale,
     /// The demand is a duplicate of the last one.
-    Repeated,
+    Duplicate,
     /// The demand is newer and concerns the current loan.
-    Next,
+    Update,
     /// The demand reports a share that a previous owner lent.
-    Reported,
+    LentByOther,
     /// The holder has no share and asks for one.
-    New,
+    NoLoan,
 }
 
 /// Compares a demand with the loan of its holder and the state of a takeover.
-fn position(row: &Lending, holder: &Holder, demand: &Demand) -> Position {
+fn classify_demand(row: &Lending, holder: &Holder, demand: &Demand) -> DemandStatus {
     let loan = row.loans.get(holder);
     if let Some(loan) = loan {
         if demand.seq == loan.demand_seq {
-            return Position::Repeated;
+            return DemandStatus::Duplicate;
         }
         if demand.seq < loan.demand_seq {
-            return Position::Stale;
+            return DemandStatus::Stale;
         }
         let is_same = match &demand.held {
             Some(held) => held.id == loan.id,
@@ -118,25 +118,25 @@
             None => demand.floor_seq <= loan.opened_seq,
         };
         if is_same {
-            return Position::Next;
+            return DemandStatus::Update;
         }
     }
     match &demand.held {
         Some(held) => {
             let takeover = row.takeover.as_ref();
             if takeover.is_some_and(|takeover| !takeover.adopted.contains(&held.id)) {
-                Position::Reported
+                DemandStatus::LentByOther
             } else {
-                Position::Stale
+                DemandStatus::Stale
             }
         }
-        None if demand.kind == DemandKind::Ask => Position::New,
-        None => Position::Stale,
+        None if demand.kind == DemandKind::Ask => DemandStatus::NoLoan,
+        None => DemandStatus::Stale,
     }
 }
 
 /// Opens a loan with nothing lent yet.
-fn open(tick: &mut Tick<'_>, holder: &Holder, demand: &Demand) {
+fn open_loan(tick: &mut Tick<'_>, holder: &Holder, demand: &Demand) {
     let ownership = &mut tick.tables.ownership;
     ownership.opened_shares += 1;
     let id = ShareId {
@@ -144,23 +144,23 @@
         number: ownership.opened_shares,
     };
     let loan = Loan::new(id, demand.seq);
-    insert(tick, &demand.account, holder, loan);
+    insert_loan(tick, &demand.account, holder, loan);
 }
 
 /// Inserts a loan and schedules its expiry.
-pub(super) fn insert(tick: &mut Tick<'_>, account: &AccountName, holder: &Holder, loan: Loan) {
+pub(super) fn insert_loan(tick: &mut Tick<'_>, account: &AccountName, holder: &Holder, loan: Loan) {
     let id = loan.id;
     if let Some(row) = tick.tables.loans.get_mut(account) {
         row.insert(holder, loan, tick.now_us);
     }
-    let due_us = tick.now_us + CoreSettings::with_margin_us(tick.settings.grant_ms);
+    let due_us = tick.now_us + CoreSettings::with_clock_margin_us(tick.settings.grant_ms);
     let timer = Timer::LoanEnd(account.clone(), holder.clone(), id);
     tick.tables.timers.set(due_us, timer);
 }
 
 /// Updates a loan with what a demand reports and confirms; returns the calls that came back.
-fn absorb(row: &mut Lending, holder: &Holder, demand: &Demand, now_us: u64) -> u64 {
-    let weight = division::weight(demand, row.limits.rate_mcalls_per_s);
+fn apply_report(row: &mut Lending, holder: &Holder, demand: &Demand, now_us: u64) -> u64 {
+    let weight = allocation::holder_weight(demand, row.limits.rate_mcalls_per_s);
     let mut returned_ncalls = 0;
     row.change(holder, now_us, |loan| {
         loan.demand_seq = demand.seq;
@@ -183,11 +183,11 @@
 }
 
 /// Issues a grant for a demand, and recalls calls from other holders if too little is free.
-fn answer(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut Granted) {
-    if give_up_spare(row, holder, now_us, granted) {
+fn answer_ask(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut HolderList) {
+    if recall_spare(row, holder, now_us, granted) {
         return;
     }
-    issue(row, holder, 0, now_us);
+    issue_grant(row, holder, 0, now_us);
     granted.push(holder.clone());
     let Some(loan) = row.loans.get(holder) else {
         return;
@@ -196,17 +196,17 @@
         return;
     }
     let need_ncalls = loan.waiting_calls.saturating_mul(NCALLS_PER_CALL);
-    let target = division::target(row, loan);
+    let target = allocation::target_limits(row, loan);
     let is_behind = loan.granted.rate_mcalls_per_s < target.rate_mcalls_per_s / 4 * 3;
     enqueue(row, holder, now_us);
-    recall(row, holder, need_ncalls, now_us, granted);
+    recall_from_others(row, holder, need_ncalls, now_us, granted);
     if is_behind {
-        shrink(row, holder, now_us, granted);
+        shrink_largest(row, holder, now_us, granted);
     }
 }
 
 /// Recalls the calls of a holder without waiting calls for the first holder in the queue.
-fn give_up_spare(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut Granted) -> bool {
+fn recall_spare(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut HolderList) -> bool {
     // Until smaller grants are confirmed, the reserve has no room for calls that come back:
     // they would be lost, and a holder on this VM would be asked in an endless loop.
     if row.is_over_limits() {
@@ -221,10 +221,10 @@
         return false;
     };
     let ncalls = loan.level_at_ncalls(now_us).min(need_ncalls);
-    if ncalls < SMALLEST_RECALL_NCALLS {
+    if ncalls < MIN_RECALL_NCALLS {
         return false;
     }
-    issue(row, holder, ncalls, now_us);
+    issue_grant(row, holder, ncalls, now_us);
     granted.push(holder.clone());
     true
 }
@@ -239,19 +239,19 @@
 }
 
 /// Recalls calls from the holders whose buckets have filled for longest.
-fn recall(
+fn recall_from_others(
     row: &mut Lending,
     holder: &Holder,
     mut need_ncalls: u64,
     now_us: u64,
-    granted: &mut Granted,
+    granted: &mut HolderList,
 ) {
-    // As in `give_up_spare`, calls that come back now would be lost.
+    // As in `recall_spare`, calls that come back now would be lost.
     if row.is_over_limits() {
         return;
     }
     let first = row.by_filling.iter().map(|(_, other)| other);
-    let others: Granted = first
+    let others: HolderList = first
         .filter(|&other| other != holder)
         .take(MAX_RECALLS)
         .cloned()
@@ -263,8 +263,8 @@
             .filter(|loan| loan.waiting_calls == 0)
             .map_or(0, |loan| loan.level_at_ncalls(now_us));
         let ncalls = level_ncalls.min(need_ncalls);
-        if ncalls >= SMALLEST_RECALL_NCALLS {
-            issue(row, &other, ncalls, now_us);
+        if ncalls >= MIN_RECALL_NCALLS {
+            issue_grant(row, &other, ncalls, now_us);
             granted.push(other);
             need_ncalls -= ncalls;
         }
@@ -272,9 +272,9 @@
 }
 
 /// Shrinks the shares that are largest in relation to their holders' weights.
-fn shrink(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut Granted) {
+fn shrink_largest(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut HolderList) {
     let last = row.by_service.iter().rev().map(|(_, other)| other);
-    let others: Granted = last
+    let others: HolderList = last
         .filter(|&other| other != holder)
         .take(MAX_RECALLS)
         .cloned()
@@ -283,35 +283,35 @@
         let Some(loan) = row.loans.get(&other) else {
             continue;
         };
-        let target = division::target(row, loan);
+        let target = allocation::target_limits(row, loan);
         if loan.granted.rate_mcalls_per_s <= target.rate_mcalls_per_s / 4 * 5 {
             return;
         }
-        issue(row, &other, 0, now_us);
+        issue_grant(row, &other, 0, now_us);
         granted.push(other);
     }
 }
 
 /// Issues grants from the reserve to holders in the queue.
-pub(super) fn serve_queue(row: &mut Lending, now_us: u64, granted: &mut Granted) {
-    for _ in 0..MAX_SERVED {
+pub(super) fn serve_queue(row: &mut Lending, now_us: u64, granted: &mut HolderList) {
+    for _ in 0..MAX_SERVED_HOLDERS {
         let Some(holder) = row.queue.front().cloned() else {
             return;
         };
         let loan = row.loans.get(&holder).filter(|loan| loan.waiting_calls > 0);
         let Some(loan) = loan else {
-            leave_queue(row, &holder, now_us);
+            dequeue(row, &holder, now_us);
             continue;
         };
         let level_ncalls = loan.level_at_ncalls(now_us) + row.reserve.level_ncalls;
-        let target = division::target(row, loan);
+        let target = allocation::target_limits(row, loan);
         let has_rate = row.reserve.rate_mcalls_per_s > target.rate_mcalls_per_s / 4
             && loan.granted.rate_mcalls_per_s < target.rate_mcalls_per_s / 4 * 3;
         if level_ncalls < NCALLS_PER_CALL && !has_rate {
             return;
         }
-        leave_queue(row, &holder, now_us);
-        issue(row, &holder, 0, now_us);
+        dequeue(row, &holder, now_us);
+        issue_grant(row, &holder, 0, now_us);
         granted.push(holder.clone());
         let loan = row.loans.get(&holder);
         if loan.is_some_and(|loan| loan.waiting_calls > 0) {
@@ -321,22 +321,22 @@
 }
 
 /// Removes `holder`, the first in the queue.
-fn leave_queue(row: &mut Lending, holder: &Holder, now_us: u64) {
+fn dequeue(row: &mut Lending, holder: &Holder, now_us: u64) {
     row.queue.pop_front();
     row.change(holder, now_us, |loan| loan.is_queued = false);
 }
 
 /// Updates a loan to its next grant, which recalls `recall_ncalls`.
-fn issue(row: &mut Lending, holder: &Holder, recall_ncalls: u64, now_us: u64) {
+fn issue_grant(row: &mut Lending, holder: &Holder, recall_ncalls: u64, now_us: u64) {
     row.reserve.refill(now_us);
     let Some(loan) = row.loans.get(holder) else {
         return;
     };
     let (next, moved_ncalls) = if recall_ncalls == 0 {
-        let next = division::next(row, loan);
-        (next, division::calls(row, loan, next, now_us))
+        let next = allocation::next_limits(row, loan);
+        (next, allocation::ncalls_to_move(row, loan, next, now_us))
     } else {
-        (division::recalled(row, loan, recall_ncalls), 0)
+        (allocation::limits_after_recall(row, loan, recall_ncalls), 0)
     };
     row.reserve.level_ncalls -= moved_ncalls;
     row.change(holder, now_us, |loan| {
@@ -345,13 +345,13 @@
 }
 
 /// Sends holders the current grants of their loans.
-pub(super) fn send(
+pub(super) fn send_grants(
     tick: &mut Tick<'_>,
     account: &AccountName,
     holders: impl IntoIterator<Item = Holder>,
 ) {
     let valid_ms = tick.settings.grant_ms;
-    let margin_us = CoreSettings::with_margin_us(valid_ms);
+    let margin_us = CoreSettings::with_clock_margin_us(valid_ms);
     for holder in holders {
         let epoch = tick.tables.view.epoch;
         let Some(row) = tick.tables.loans.get_mut(account) else {
@@ -382,7 +382,7 @@
 }
 
 /// Schedules the time at which the reserve holds a call for the queue.
-fn plan_queue(tick: &mut Tick<'_>, account: &AccountName) {
+fn schedule_queue(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(row) = tick.tables.loans.get_mut(account) else {
         return;
@@ -399,7 +399,7 @@
 }
 
 /// Refills the reserve and serves the queue from it.
-pub(super) fn queue_due(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn process_queue(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let epoch = tick.tables.view.epoch;
     let may_act = may_act(tick, epoch);
@@ -411,14 +411,19 @@
         return;
     }
     row.reserve.refill(now_us);
-    let mut granted = Granted::new();
+    let mut granted = HolderList::new();
     serve_queue(row, now_us, &mut granted);
-    send(tick, account, granted);
-    plan_queue(tick, account);
+    send_grants(tick, account, granted);
+    schedule_queue(tick, account);
 }
 
 /// Removes a loan once its last grant has expired, or checks again later.
-pub(super) fn loan_ended(tick: &mut Tick<'_>, account: &AccountName, holder: &Holder, id: ShareId) {
+pub(super) fn handle_loan_end(
+    tick: &mut Tick<'_>,
+    account: &AccountName,
+    holder: &Holder,
+    id: ShareId,
+) {
     let now_us = tick.now_us;
     let row = tick.tables.loans.get(account);
     let loan = row.and_then(|row| row.loans.get(holder));
@@ -426,7 +431,7 @@
         return;
     };
     let expires_us = loan.expires_us;
-    if now_us < expires_us || !was_in_force(tick, expires_us) {
+    if now_us < expires_us || !is_confirmed_since(tick, expires_us) {
         let due_us = expires_us.max(now_us + LEASE_RETRY_US);
         let timer = Timer::LoanEnd(account.clone(), holder.clone(), id);
         tick.tables.timers.set(due_us, timer);
@@ -435,11 +440,11 @@
     if let Some(row) = tick.tables.loans.get_mut(account) {
         row.remove(holder, now_us);
     }
-    queue_due(tick, account);
+    process_queue(tick, account);
 }
 
 /// Applies the published limits of an account that this VM owns and issues new grants.
-pub(super) fn limits_changed(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn apply_limits(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let epoch = tick.tables.view.epoch;
     if !takeover::ensure_row(tick, account) {
@@ -464,7 +469,7 @@
     }
     let holders: Vec<_> = row.loans.iter().map(|(holder, _)| holder.clone()).collect();
     for holder in &holders {
-        issue(row, holder, 0, now_us);
+        issue_grant(row, holder, 0, now_us);
     }
-    send(tick, account, holders);
+    send_grants(tick, account, holders);
 }
--- a/crates/core/src/systems/rates/pooled.rs
+++ b/crates/core/src/systems/rates/pooled.rs
@@ -10,24 +10,24 @@
 use crate::tables::{Bucket, Limits, NCALLS_PER_CALL, Pooled, Share};
 
 /// Below the burst divided by this, each VM admits calls only within its own part of the rate.
-const RESERVE_PART: u64 = 10;
+const RESERVE_DIVISOR: u64 = 10;
 
 /// Level below which no new program is admitted, in percent of the burst.
 ///
 /// Running programs need several calls each, and a program loses them all if one is refused.
-const BEGIN_PERCENT: u64 = 40;
+const MIN_BEGIN_LEVEL_PERCENT: u64 = 40;
 
 /// After a restart of this VM, the level of a bucket is at most its burst divided by this.
-const START_PART: u64 = 4;
+const INITIAL_LEVEL_DIVISOR: u64 = 4;
 
 /// After a restart of this VM, the level is at most what the account's rate adds in this time.
-const START_US: u64 = 500_000;
+const MAX_INITIAL_LEVEL_US: u64 = 500_000;
 
 /// Burst of a VM's own part of the rate: what that part adds in this time, at least one call.
 const PACE_BURST_US: u64 = 250_000;
 
 /// Applies an account's published limits to this VM's copy of its bucket.
-pub(super) fn limits_changed(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn apply_limits(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(limits) = tick.tables.accounts.get(account).map(|row| row.limits()) else {
         return;
@@ -40,12 +40,14 @@
     let is_new = !shares.contains_key(account);
     let share = shares.get_or_insert_with(account, Share::default);
     share.bucket.refill(now_us);
-    let limits = within_window(limits, tick.settings.rate_window_ms);
+    let limits = spread_over_window(limits, tick.settings.rate_window_ms);
     let rate_mcalls_per_s = limits.rate_mcalls_per_s * heard / known;
     let burst_ncalls = limits.burst_ncalls / known * heard;
     let level_ncalls = match is_new {
         true if starts_full => burst_ncalls,
-        true => (burst_ncalls / START_PART).min(rate_mcalls_per_s * START_US),
+        true => {
+            (burst_ncalls / INITIAL_LEVEL_DIVISOR).min(rate_mcalls_per_s * MAX_INITIAL_LEVEL_US)
+        }
         false => share.bucket.level_ncalls.min(burst_ncalls),
     };
     share.bucket = Bucket {
@@ -58,8 +60,8 @@
     let pace_rate = rate_mcalls_per_s / heard.max(1);
     let pace_burst = (pace_rate * PACE_BURST_US).max(NCALLS_PER_CALL);
     share.pooled = Some(Pooled {
-        reserve_ncalls: burst_ncalls / RESERVE_PART,
-        begin_ncalls: burst_ncalls * BEGIN_PERCENT / 100,
+        reserve_ncalls: burst_ncalls / RESERVE_DIVISOR,
+        begin_ncalls: burst_ncalls * MIN_BEGIN_LEVEL_PERCENT / 100,
         debt_ncalls: before.debt_ncalls,
         pace: Bucket {
             rate_mcalls_per_s: pace_rate,
@@ -75,7 +77,7 @@
 /// Half of the burst may be used at once; the other half is spread over the window. No window
 /// holds more calls than if the whole burst were used at once, and an account that stays at its
 /// limit can use its burst in every window.
-fn within_window(limits: Limits, window_ms: u64) -> Limits {
+fn spread_over_window(limits: Limits, window_ms: u64) -> Limits {
     if window_ms == 0 {
         return limits;
     }
@@ -87,7 +89,7 @@
 }
 
 /// Deducts calls that another VM has admitted from this VM's copy of the bucket.
-pub(crate) fn spend(tick: &mut Tick<'_>, account: &AccountName, ncalls: u64) {
+pub(crate) fn debit_remote_calls(tick: &mut Tick<'_>, account: &AccountName, ncalls: u64) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
@@ -99,7 +101,7 @@
 }
 
 /// Refunds an admitted call that did not run.
-pub(crate) fn give_back(tick: &mut Tick<'_>, account: &AccountName) {
+pub(crate) fn refund_call(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
@@ -115,11 +117,11 @@
 }
 
 /// Rescales all buckets after a change in the number of VMs that share the rates.
-pub(crate) fn rescale(tick: &mut Tick<'_>) {
+pub(crate) fn rescale_buckets(tick: &mut Tick<'_>) {
     let accounts = tick.tables.accounts.iter();
     let accounts: Vec<AccountName> = accounts.map(|(account, _)| account.clone()).collect();
     for account in accounts {
-        limits_changed(tick, &account);
-        calls::serve(tick, &account);
+        apply_limits(tick, &account);
+        calls::serve_waiting(tick, &account);
     }
 }
--- a/crates/core/src/systems/rates/takeover.rs
+++ b/crates/core/src/systems/rates/takeover.rs
@@ -18,7 +18,7 @@
 const FIRST_EPOCH: Epoch = Epoch(1);
 
 /// Hands over accounts that this VM no longer owns and takes over new ones when the view changes.
-pub(super) fn follow_view(tick: &mut Tick<'_>) {
+pub(super) fn apply_view_change(tick: &mut Tick<'_>) {
     let epoch = tick.tables.view.epoch;
     let previous = tick.tables.ownership.epoch;
     if epoch == previous {
@@ -39,7 +39,7 @@
     let is_next = previous.next() == epoch;
     let mut handed = HashMap::<VmName, Vec<Unlent>>::new();
     for account in &accounts {
-        if let Some((successor, unlent)) = leave(tick, account, is_next) {
+        if let Some((successor, unlent)) = remove_row(tick, account, is_next) {
             handed.entry(successor).or_default().push(unlent);
         }
         ensure_row(tick, account);
@@ -54,13 +54,17 @@
     for (successor, unlent) in handed {
         tick.send(&successor, RatesMessage::ShareReport { epoch, unlent });
     }
-    start_query(tick);
+    start_queries(tick);
 }
 
 /// Removes an account that this VM may no longer lend; returns its new owner and what was unlent.
 ///
 /// What is unlent is only known if this VM was the owner in the previous view.
-fn leave(tick: &mut Tick<'_>, account: &AccountName, is_next: bool) -> Option<(VmName, Unlent)> {
+fn remove_row(
+    tick: &mut Tick<'_>,
+    account: &AccountName,
+    is_next: bool,
+) -> Option<(VmName, Unlent)> {
     tick.tables.loans.get(account)?;
     let owns = is_owner(tick, account);
     if owns && is_next {
@@ -105,7 +109,7 @@
     };
     let now_us = tick.now_us;
     let wait_ms = tick.settings.lease_ms + tick.settings.grant_ms;
-    let until_us = tables.ownership.learned_us + CoreSettings::with_margin_us(wait_ms);
+    let until_us = tables.ownership.learned_us + CoreSettings::with_clock_margin_us(wait_ms);
     let mut row = Lending::default();
     if tables.view.epoch == FIRST_EPOCH || now_us >= until_us {
         row.reserve = Bucket::full(limits.rate_mcalls_per_s, limits.burst_ncalls, now_us);
@@ -143,12 +147,12 @@
     let before = share.owner.take().map(|(_, owner)| owner);
     let is_in_use = share.held.is_some() || !share.waiting.is_empty();
     if is_in_use && holder::owner_of(tick, account) != before {
-        holder::ask(tick, account);
+        holder::request_grant(tick, account);
     }
 }
 
 /// Queries all other members about the accounts that were taken over.
-fn start_query(tick: &mut Tick<'_>) {
+fn start_queries(tick: &mut Tick<'_>) {
     let tables = &mut *tick.tables;
     if tables.ownership.taken_over.is_empty() {
         return;
@@ -156,14 +160,14 @@
     let others = tables.view.members.iter().map(|member| &member.vm);
     let others = others.filter(|vm| **vm != tick.settings.vm).cloned();
     tables.ownership.unanswered = others.collect();
-    query(tick, tick.tables.view.epoch);
+    send_queries(tick, tick.tables.view.epoch);
 }
 
 /// Queries the members that have not answered, until the takeovers have ended.
-pub(super) fn query(tick: &mut Tick<'_>, epoch: Epoch) {
+pub(super) fn send_queries(tick: &mut Tick<'_>, epoch: Epoch) {
     let ownership = &tick.tables.ownership;
     let wait_ms = tick.settings.lease_ms + tick.settings.grant_ms;
-    let until_us = ownership.learned_us + CoreSettings::with_margin_us(wait_ms);
+    let until_us = ownership.learned_us + CoreSettings::with_clock_margin_us(wait_ms);
     let is_over = ownership.epoch != epoch || tick.now_us >= until_us;
     if is_over || ownership.unanswered.is_empty() {
         return;
@@ -178,7 +182,7 @@
 }
 
 /// Answers the query of a new owner with shares in use and with what this VM had not lent.
-pub(super) fn queried(
+pub(super) fn handle_query(
     tick: &mut Tick<'_>,
     sender: &Sender,
     epoch: Epoch,
@@ -190,7 +194,7 @@
     for account in accounts {
         let share = tick.tables.shares.get(account);
         if share.is_some_and(|share| share.held.is_some() || !share.waiting.is_empty()) {
-            holder::ask(tick, account);
+            holder::request_grant(tick, account);
         }
     }
     let known = &tick.tables.ownership.unlent;
@@ -200,7 +204,7 @@
 }
 
 /// Adds what an earlier owner had not lent to the accounts taken over.
-pub(super) fn reported(tick: &mut Tick<'_>, sender: Sender, epoch: Epoch, unlent: &[Unlent]) {
+pub(super) fn handle_report(tick: &mut Tick<'_>, sender: Sender, epoch: Epoch, unlent: &[Unlent]) {
     if tick.tables.view.epoch != epoch {
         return;
     }
@@ -211,7 +215,7 @@
         incarnation: sender.incarnation,
     };
     for unlent in unlent {
-        let Some(takeover) = takeover_of(tick, &unlent.account) else {
+        let Some(takeover) = takeover_mut(tick, &unlent.account) else {
             continue;
         };
         if !takeover.reported.insert(reporter.clone()) {
@@ -221,16 +225,16 @@
             rate_mcalls_per_s: unlent.rate_mcalls_per_s,
             burst_ncalls: unlent.burst_ncalls,
         };
-        learn(tick, &unlent.account, limits);
+        add_known_limits(tick, &unlent.account, limits);
         if let Some(row) = tick.tables.loans.get_mut(&unlent.account) {
             row.deposit(unlent.calls_ncalls);
         }
-        owner::queue_due(tick, &unlent.account);
+        owner::process_queue(tick, &unlent.account);
     }
 }
 
 /// Inserts a loan for a share that an earlier owner lent.
-pub(super) fn adopt(tick: &mut Tick<'_>, holder: &Holder, demand: &Demand) {
+pub(super) fn adopt_share(tick: &mut Tick<'_>, holder: &Holder, demand: &Demand) {
     let Some(held) = &demand.held else {
         return;
     };
@@ -238,11 +242,11 @@
         rate_mcalls_per_s: held.rate_mcalls_per_s,
         burst_ncalls: held.burst_ncalls,
     };
-    if let Some(takeover) = takeover_of(tick, &demand.account) {
+    if let Some(takeover) = takeover_mut(tick, &demand.account) {
         takeover.adopted.insert(held.id);
     }
-    learn(tick, &demand.account, limits);
-    let margin_us = CoreSettings::with_margin_us(tick.settings.grant_ms);
+    add_known_limits(tick, &demand.account, limits);
+    let margin_us = CoreSettings::with_clock_margin_us(tick.settings.grant_ms);
     let loan = Loan {
         expires_us: tick.now_us + margin_us,
         grant_seq: held.applied_seq,
@@ -254,17 +258,17 @@
         recalled_ncalls: held.recalled_ncalls,
         ..Loan::new(held.id, demand.seq)
     };
-    owner::insert(tick, &demand.account, holder, loan);
+    owner::insert_loan(tick, &demand.account, holder, loan);
 }
 
 /// Returns the takeover of an account if one is under way.
-fn takeover_of<'a>(tick: &'a mut Tick<'_>, account: &AccountName) -> Option<&'a mut Takeover> {
+fn takeover_mut<'a>(tick: &'a mut Tick<'_>, account: &AccountName) -> Option<&'a mut Takeover> {
     let row = tick.tables.loans.get_mut(account)?;
     row.takeover.as_mut()
 }
 
 /// Raises the limits that may be lent during a takeover by what became known to be free or adopted.
-fn learn(tick: &mut Tick<'_>, account: &AccountName, limits: Limits) {
+fn add_known_limits(tick: &mut Tick<'_>, account: &AccountName, limits: Limits) {
     let tables = &mut *tick.tables;
     let published = tables.accounts.get(account).map(|row| row.limits());
     let (Some(published), Some(row)) = (published, tables.loans.get_mut(account)) else {
@@ -279,7 +283,7 @@
 }
 
 /// Ends a takeover once all earlier grants have expired, so that the full limits may be lent.
-pub(super) fn end(tick: &mut Tick<'_>, account: &AccountName) {
+pub(super) fn end_takeover(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let tables = &*tick.tables;
     let row = tables.loans.get(account);
@@ -287,7 +291,7 @@
         return;
     };
     let until_us = takeover.until_us;
-    if now_us < until_us || !owner::was_in_force(tick, until_us) {
+    if now_us < until_us || !owner::is_confirmed_since(tick, until_us) {
         let due_us = until_us.max(now_us + owner::LEASE_RETRY_US);
         let timer = Timer::TakeoverEnd(account.clone());
         tick.tables.timers.set(due_us, timer);
@@ -299,5 +303,5 @@
         row.takeover = None;
         row.set_limits(limits, now_us);
     }
-    owner::queue_due(tick, account);
+    owner::process_queue(tick, account);
 }
--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -101,16 +101,16 @@
             answered(tick, &SourcePart::Losses);
             if tick.tables.source.knowledge == Knowledge::Pending {
                 for record in &records {
-                    budgets::adopt_record(tick, record);
+                    budgets::restore_record(tick, record);
                 }
-                budgets::know(tick, losses, records.len());
+                budgets::mark_programs_known(tick, losses, records.len());
             }
         }
         SourceEvent::Reserved { program, tokens } => {
-            tick.work.budgets.reserved.push((program, Some(tokens)));
+            tick.work.budgets.reservations.push((program, Some(tokens)));
         }
         SourceEvent::Failed(SourcePart::Budget(program)) => {
-            tick.work.budgets.reserved.push((program, None));
+            tick.work.budgets.reservations.push((program, None));
         }
         SourceEvent::Failed(part) => failed(tick, &part),
     }
--- a/crates/core/src/systems/timers/mod.rs
+++ b/crates/core/src/systems/timers/mod.rs
@@ -14,7 +14,7 @@
             | Timer::LoanQueue(_)
             | Timer::LoanEnd(..)
             | Timer::TakeoverEnd(_)
-            | Timer::ShareQuery(_) => work.rates.due.push(timer),
+            | Timer::ShareQuery(_) => work.rates.due_timers.push(timer),
             Timer::TurnWait(_)
             | Timer::TurnRetry(_)
             | Timer::TurnProbe(..)
@@ -39,7 +39,7 @@
             Timer::OrdersReview(_) => work.orders.due_timers.push(timer),
             Timer::Summary => work.peers.due = true,
             Timer::Source => work.source.due = true,
-            Timer::BudgetIdle(_) => work.budgets.due.push(timer),
+            Timer::BudgetIdle(_) => work.budgets.due_timers.push(timer),
             Timer::Heartbeat | Timer::Store => work.membership.due.push(timer),
         }
     }
--- a/crates/core/src/tables/takeover.rs
+++ b/crates/core/src/tables/takeover.rs
@@ -73,7 +73,10 @@
                 self.lease.age_us(now_us),
                 settings.lease_ms + settings.isolation_ms,
             ),
-            Coordination::Peers => (self.source.config.age_us(now_us), settings.stale_config_ms),
+            Coordination::Peers => (
+                self.source.config.age_us(now_us),
+                settings.max_config_age_ms,
+            ),
         };
         age_us.is_none_or(|age_us| age_us > limit_ms * 1_000)
     }
--- a/crates/report/src/policy/variant.rs
+++ b/crates/report/src/policy/variant.rs
@@ -1,6 +1,6 @@
 //! The policies that are compared.
 
-use knapweeddale_core::config::{PolicyParts, PolicyPreset, UpstreamChoice};
+use knapweeddale_core::config::{PolicyFeatures, PolicyPreset, UpstreamChoice};
 
 /// A policy that is compared with others.
 #[derive(Debug, Clone, Copy)]
@@ -10,12 +10,12 @@
     /// Its preset.
     pub preset: PolicyPreset,
     /// Its parts.
-    pub parts: PolicyParts,
+    pub parts: PolicyFeatures,
 }
 
 /// First come first served without any part of the policy.
-const fn plain(upstream_choice: UpstreamChoice) -> PolicyParts {
-    PolicyParts {
+const fn plain(upstream_choice: UpstreamChoice) -> PolicyFeatures {
+    PolicyFeatures {
         fair_sharing: false,
         least_attained: false,
         upstream_choice,
@@ -24,7 +24,7 @@
 }
 
 /// The whole policy.
-const FULL: PolicyParts = PolicyParts {
+const FULL: PolicyFeatures = PolicyFeatures {
     fair_sharing: true,
     least_attained: true,
     upstream_choice: UpstreamChoice::LowestCost,
@@ -44,28 +44,28 @@
         },
         Self::fair(
             "full without affinity",
-            PolicyParts {
+            PolicyFeatures {
                 upstream_choice: UpstreamChoice::LeastLoaded,
                 ..FULL
             },
         ),
         Self::fair(
             "full without least attained",
-            PolicyParts {
+            PolicyFeatures {
                 least_attained: false,
                 ..FULL
             },
         ),
         Self::fair(
             "full without fair sharing",
-            PolicyParts {
+            PolicyFeatures {
                 fair_sharing: false,
                 ..FULL
             },
         ),
         Self::fair(
             "full without learned limit",
-            PolicyParts {
+            PolicyFeatures {
                 learned_limit: false,
                 ..FULL
             },
@@ -76,7 +76,7 @@
     pub const BASELINE: &Self = &Self::ALL[1];
 
     /// Makes a policy with the preset `fair_share`.
-    const fn fair(name: &'static str, parts: PolicyParts) -> Self {
+    const fn fair(name: &'static str, parts: PolicyFeatures) -> Self {
         Self {
             name,
             preset: PolicyPreset::FairShare,
--- a/crates/testing/src/relays/mod.rs
+++ b/crates/testing/src/relays/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use knapweeddale_core::config::{Coordination, PolicyParts};
+use knapweeddale_core::config::{Coordination, PolicyFeatures};
 use knapweeddale_core::{
     CallId, Control, CoreSettings, DomainName, FleetConfig, Incarnation, Input, Output, Refusal,
     RefusalKind, UpstreamList, VmName,
@@ -103,9 +103,9 @@
             .failure_domain(DomainName::from("north"))
             .address(row.name.to_string())
             .coordination(Coordination::Peers)
-            .policy(PolicyParts {
+            .policy(PolicyFeatures {
                 learned_limit: false,
-                ..PolicyParts::default()
+                ..PolicyFeatures::default()
             })
             .is_first_start(is_first_start)
             .rate_wait_ms(400)
