--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -6,7 +6,7 @@
 use crate::message::Snapshot;
 use crate::output::Output;
 use crate::systems::{self, Tick, Work};
-use crate::tables::{Knowledge, Member, Tables, Timer, View};
+use crate::tables::{Member, ProgramKnowledge, Tables, Timer, View};
 
 /// How often the systems run over the work lists in one tick.
 ///
@@ -122,7 +122,7 @@
         epoch: Epoch(1),
         ..View::default()
     };
-    view.put(Member {
+    view.insert_member(Member {
         vm: settings.vm.clone(),
         incarnation: settings.incarnation,
         failure_domain: settings.failure_domain.clone(),
@@ -130,10 +130,10 @@
         leaving: false,
         joined: view.epoch,
     });
-    tables.placed_epoch = view.epoch;
+    tables.placement_epoch = view.epoch;
     tables.view = view;
     if settings.is_first_start {
-        tables.source.knowledge = Knowledge::Since {
+        tables.source.knowledge = ProgramKnowledge::Known {
             losses: 0,
             counted_us: 0,
         };
--- a/crates/core/src/output/decision.rs
+++ b/crates/core/src/output/decision.rs
@@ -11,7 +11,7 @@
     AccountName, AttemptId, CallId, ContentDigest, Epoch, FencingToken, Incarnation, ProgramKey,
     Revision, UpstreamName, VmName,
 };
-use crate::tables::{Cover, LimitReason};
+use crate::tables::{Coverage, LimitReason};
 
 /// A routing or placement decision.
 ///
@@ -344,7 +344,7 @@
         /// The budget.
         budget_tokens: u64,
         /// What covers it.
-        cover: Cover,
+        cover: Coverage,
     },
     /// A turn is not covered by its program's budget.
     #[display(
--- a/crates/core/src/systems/admission/mod.rs
+++ b/crates/core/src/systems/admission/mod.rs
@@ -10,7 +10,7 @@
 use crate::input::{NewCall, PresentedKey, Target};
 use crate::message::PlacementMessage;
 use crate::output::{ChargeOutcome, Decision, Execution, Output, Refusal, RefusalKind};
-use crate::tables::{Call, Relay, Stage};
+use crate::tables::{Call, RelayState, Stage};
 
 /// Input collected for this system since its last run.
 #[derive(Debug, Default)]
@@ -125,7 +125,7 @@
         begin_tries: 0,
         begin_due_us: 0,
         has_asked_home: false,
-        home_give_up_us: 0,
+        home_deadline_us: 0,
         valid_until_us: u64::MAX,
         attempts: 0,
         upstream: None,
@@ -134,10 +134,10 @@
         last_run: None,
         used_tokens: None,
         avoid: SmallVec::new(),
-        place: Default::default(),
+        placement: Default::default(),
         begins_program,
         relay,
-        new,
+        request: new,
     };
     let has_account = call.account.is_some();
     tick.tables.calls.insert(id, call);
@@ -166,7 +166,7 @@
 /// Returns the program of a turn if its budget is used up.
 ///
 /// Such a turn is refused before it counts against its account's rate.
-fn find_stopped_program(tick: &Tick<'_>, relay: Option<&Relay>) -> Option<ProgramKey> {
+fn find_stopped_program(tick: &Tick<'_>, relay: Option<&RelayState>) -> Option<ProgramKey> {
     let turn = relay.filter(|relay| relay.budget_tokens.is_some())?;
     let program = turn.program.as_ref()?;
     let row = tick.tables.budgets.get(program)?;
@@ -174,7 +174,7 @@
 }
 
 /// Returns whether a relayed call is the first turn of a program, as far as this VM knows.
-fn begins_program(tick: &Tick<'_>, relay: Option<&Relay>) -> bool {
+fn begins_program(tick: &Tick<'_>, relay: Option<&RelayState>) -> bool {
     let Some(relay) = relay.filter(|relay| relay.budget_tokens.is_some()) else {
         return false;
     };
@@ -189,7 +189,7 @@
     new: &NewCall,
     route: Arc<HostRoute>,
     account: Option<&AccountName>,
-) -> Box<Relay> {
+) -> Box<RelayState> {
     let relayed = new.relayed.as_deref();
     let row = account.and_then(|account| tick.tables.accounts.get(account));
     let priority = row.and_then(|row| row.config.priority);
@@ -197,7 +197,7 @@
     let caller_us = relayed.map_or(u64::MAX, |relayed| relayed.deadline_us);
     let program = relayed.and_then(|relayed| relayed.program.clone());
     let is_stream = route.kind.is_stream();
-    Box::new(Relay {
+    Box::new(RelayState {
         deadline_us: caller_us.min(timeout_us),
         stream_deadline_us: caller_us.min(timeout_us + STREAM_GRACE_US),
         priority: priority.unwrap_or(route.priority),
@@ -210,7 +210,7 @@
             .and_then(|relayed| relayed.budget_tokens)
             .filter(|_| is_stream),
         cover: None,
-        passed_tokens: 0,
+        forwarded_tokens: 0,
         ran_on: SmallVec::new(),
         only: None,
         route,
@@ -370,7 +370,7 @@
     let own = call.own_execution(ran);
     let used_tokens = match own {
         Execution::NotRun => 0,
-        _ => call.used_tokens.unwrap_or_else(|| call.reserve_tokens()),
+        _ => call.used_tokens.unwrap_or_else(|| call.max_total_tokens()),
     };
     if own != Execution::NotRun {
         outcomes::charge_last_run(tick, &call);
@@ -415,12 +415,12 @@
         };
         let ran = match call.stage {
             Stage::Running => {
-                let outcome = if call.place.first_token_us > 0 {
+                let outcome = if call.placement.first_token_us > 0 {
                     ChargeOutcome::Interrupted
                 } else {
                     ChargeOutcome::Unknown
                 };
-                call.last_run = call.run_ended(0, outcome).map(Box::new);
+                call.last_run = call.to_last_run(0, outcome).map(Box::new);
                 Execution::MayHaveRun
             }
             Stage::Settling => continue,
--- a/crates/core/src/systems/budgets/mod.rs
+++ b/crates/core/src/systems/budgets/mod.rs
@@ -9,7 +9,9 @@
 use crate::ids::{CallId, Incarnation, ProgramKey, VmName};
 use crate::message::{ProgramSpent, ProgramUse};
 use crate::output::{Decision, Execution, Output, RefusalKind, SourceRequest};
-use crate::tables::{Budget, BudgetRecord, Call, Knowledge, Relay, Stage, Timer, Verdict};
+use crate::tables::{
+    Budget, BudgetDecision, BudgetRecord, Call, ProgramKnowledge, RelayState, Stage, Timer,
+};
 
 /// How long a program is kept after its last turn if its route sets no time.
 const DEFAULT_RETENTION_MS: u64 = 60_000;
@@ -45,7 +47,7 @@
             expire_program(tick, program);
         }
     }
-    if tick.tables.source.knowledge == Knowledge::Pending {
+    if tick.tables.source.knowledge == ProgramKnowledge::Pending {
         tick.tables.source.waiting.extend(work.calls);
         return;
     }
@@ -57,7 +59,7 @@
 /// Records that earlier programs are known and resumes the turns that waited for this.
 pub(crate) fn mark_programs_known(tick: &mut Tick<'_>, losses: u32, programs: usize) {
     let source = &mut tick.tables.source;
-    source.knowledge = Knowledge::Since {
+    source.knowledge = ProgramKnowledge::Known {
         losses,
         counted_us: if losses > 0 { tick.now_us } else { 0 },
     };
@@ -91,7 +93,7 @@
     let known_tokens = row.known_tokens();
     let budget_tokens = row.budget_tokens;
     match row.cover(line, turn_tokens) {
-        Verdict::Covered(cover) => {
+        BudgetDecision::Covered(cover) => {
             if let Some(relay) = relay_mut(tick, id) {
                 relay.cover = Some(cover);
             }
@@ -104,7 +106,7 @@
             });
             admission::enter_stage(tick, id, Stage::Place);
         }
-        Verdict::NeedsReservation { needed_tokens } => {
+        BudgetDecision::NeedsReservation { needed_tokens } => {
             row.waiting.push(id);
             let (losses, has_record) = (row.losses, row.has_record);
             if !std::mem::replace(&mut row.is_reserving, true) {
@@ -118,7 +120,7 @@
                 }));
             }
         }
-        Verdict::UsedUp => stop_program(tick, &program, id),
+        BudgetDecision::Exhausted => stop_program(tick, &program, id),
     }
 }
 
@@ -126,11 +128,11 @@
 fn turn_of(tick: &Tick<'_>, id: CallId) -> Option<(ProgramKey, Option<u64>, u64)> {
     let call = tick.tables.calls.get(&id)?;
     let relay = call.relay.as_ref()?;
-    Some((relay.program.clone()?, relay.line, call.new.max_tokens))
+    Some((relay.program.clone()?, relay.line, call.request.max_tokens))
 }
 
 /// Returns the relay state of a call; `None` if the call isn't relayed.
-fn relay_mut<'a>(tick: &'a mut Tick<'_>, id: CallId) -> Option<&'a mut Relay> {
+fn relay_mut<'a>(tick: &'a mut Tick<'_>, id: CallId) -> Option<&'a mut RelayState> {
     tick.tables.calls.get_mut(&id)?.relay.as_deref_mut()
 }
 
@@ -152,7 +154,7 @@
     let keep_us = relay.route.program_keep_ms.unwrap_or(DEFAULT_RETENTION_MS) * 1_000;
     let round = tick.tables.peering.next_round();
     let row = get_or_create_row(tick, program, keep_us);
-    row.used_us = now_us;
+    row.last_used_us = now_us;
     if row.budget_tokens > 0 {
         return;
     }
@@ -176,8 +178,8 @@
         tick.tables.timers.set(now_us + keep_us, timer);
         let knowledge = tick.tables.source.knowledge;
         let row = Budget {
-            keep_us,
-            used_us: now_us,
+            retention_us: keep_us,
+            last_used_us: now_us,
             losses: knowledge.losses(now_us).unwrap_or(u32::MAX),
             ..Budget::default()
         };
@@ -277,13 +279,13 @@
     let Some(row) = tick.tables.budgets.get_mut(program) else {
         return;
     };
-    row.settle(cover, call.new.max_tokens, relay.passed_tokens);
-    let spent = row.spent_by(vm, incarnation) + relay.passed_tokens;
+    row.settle(cover, call.request.max_tokens, relay.forwarded_tokens);
+    let spent = row.spent_by(vm, incarnation) + relay.forwarded_tokens;
     row.set_spent(vm, incarnation, spent);
-    row.used_us = now_us;
+    row.last_used_us = now_us;
     row.changed_round = round;
     if let Some(upstream) = &call.upstream {
-        let tokens = call.new.prompt_tokens + relay.passed_tokens;
+        let tokens = call.request.prompt_tokens + relay.forwarded_tokens;
         row.cached = Some((upstream.clone(), tokens));
     }
 }
@@ -301,7 +303,7 @@
     row.main_line = row.main_line.or(used.main_line);
     row.is_stopped |= used.is_stopped;
     row.has_record |= used.has_record;
-    row.used_us = now_us;
+    row.last_used_us = now_us;
     if let Some((upstream, tokens)) = &used.cached {
         super::placement::record_cached_prefix(tick, &used.program, upstream, *tokens);
     }
@@ -325,7 +327,7 @@
     let Some(row) = tick.tables.budgets.get(&program) else {
         return;
     };
-    let due_us = row.used_us + row.keep_us;
+    let due_us = row.last_used_us + row.retention_us;
     if due_us <= tick.now_us && row.waiting.is_empty() {
         tick.tables.budgets.remove(&program);
     } else {
--- a/crates/core/src/systems/config/listing.rs
+++ b/crates/core/src/systems/config/listing.rs
@@ -36,7 +36,7 @@
 /// Returns whether entries may be missing because of a recent store outage.
 fn may_have_lapsed(tick: &Tick<'_>) -> bool {
     let relist_us = tick.settings.list_grace_ms * 1_000;
-    let returned_us = tick.tables.source.returned_us;
+    let returned_us = tick.tables.source.list_resumed_us;
     returned_us.is_some_and(|returned_us| tick.now_us < returned_us + relist_us)
 }
 
--- a/crates/core/src/systems/config/mod.rs
+++ b/crates/core/src/systems/config/mod.rs
@@ -60,7 +60,7 @@
     if revision <= in_force {
         return;
     }
-    let asked = &mut tables.config_asked;
+    let asked = &mut tables.config_requested;
     if asked.is_some_and(|(asked, at_us)| asked >= revision && now_us < at_us + again_us) {
         return;
     }
@@ -166,7 +166,7 @@
                 .upstreams
                 .get_or_insert_with(&upstream.name, || Upstream::new(upstream.clone()));
             if row.config.started_unix_ms != upstream.started_unix_ms {
-                row.restarted(tick.now_us);
+                row.reset_after_restart(tick.now_us);
             }
             row.configure(upstream.clone());
         }
@@ -234,7 +234,7 @@
         .filter(|upstream| match &pool.model {
             Some(model) => upstreams
                 .get(&upstream.name)
-                .is_some_and(|row| row.has_loaded(model)),
+                .is_some_and(|row| row.can_run_model(model)),
             None => true,
         })
         .map(|upstream| upstream.name.clone())
--- a/crates/core/src/systems/homes/entry.rs
+++ b/crates/core/src/systems/homes/entry.rs
@@ -27,12 +27,12 @@
         return;
     };
     if call.stage == Stage::Home && call.begin_tries == 0 {
-        call.home_give_up_us = now_us + HOME_TIMEOUT_MS * 1_000;
+        call.home_deadline_us = now_us + HOME_TIMEOUT_MS * 1_000;
     }
     let refusal = match call.stage {
         // Homes deny turns of VMs that are not members.
         Stage::Home if has_left => Some(RefusalKind::Draining),
-        Stage::Home if now_us >= call.home_give_up_us => Some(RefusalKind::HomeMoving),
+        Stage::Home if now_us >= call.home_deadline_us => Some(RefusalKind::HomeMoving),
         _ => None,
     };
     if let Some(kind) = refusal {
@@ -41,7 +41,7 @@
         return;
     }
     call.begin_tries += 1;
-    let carried = call.new.program.as_ref();
+    let carried = call.request.program.as_ref();
     let carried = carried.and_then(|turn| turn.continuation.clone());
     let carried = carried.filter(|state| Some(&state.program) == call.program.as_ref());
     let begin = has_lease.then(|| build_begin(call, now_us)).flatten();
@@ -61,17 +61,17 @@
 
 /// Builds the `Begin` of a call; `None` if the call does not belong to a program.
 fn build_begin(call: &Call, now_us: u64) -> Option<Begin> {
-    let turn = call.new.program.as_ref()?;
+    let turn = call.request.program.as_ref()?;
     Some(Begin {
-        call: call.new.id,
+        call: call.request.id,
         sent_us: now_us,
         program: call.program.clone()?,
         turn: turn.turn,
         continuation: turn.continuation.clone(),
-        permit: call.new.permit.clone(),
+        permit: call.request.permit.clone(),
         idempotent: call.idempotent,
-        reserve_tokens: call.reserve_tokens(),
-        digest: call.new.digest,
+        reserve_tokens: call.max_total_tokens(),
+        digest: call.request.digest,
         pool: call.pool.clone(),
     })
 }
@@ -135,7 +135,7 @@
 /// If the end of the call is not confirmed yet, it is reported again instead. A call from
 /// before the restart of this VM may have run.
 fn report_unknown_call(tick: &mut Tick<'_>, home: &VmName, call: CallId, program: ProgramKey) {
-    if tick.tables.homes.settles.contains_key(&call) {
+    if tick.tables.homes.pending_settles.contains_key(&call) {
         settlement::send(tick, call);
         return;
     }
@@ -160,7 +160,7 @@
     if let Some(call) = tick.tables.calls.get_mut(&id)
         && call.stage == Stage::Home
     {
-        call.home_give_up_us = give_up_us;
+        call.home_deadline_us = give_up_us;
     }
 }
 
@@ -174,7 +174,7 @@
     if call.stage != Stage::Home {
         return;
     }
-    if denied.kind == RefusalKind::HomeMoving && now_us < call.home_give_up_us {
+    if denied.kind == RefusalKind::HomeMoving && now_us < call.home_deadline_us {
         let retry_after_ms = denied.retry_after_ms.unwrap_or(MOVING_RETRY_AFTER_MS);
         let wait_ms = retry_after_ms.clamp(20, MOVING_RETRY_AFTER_MS);
         schedule_retry(tick, denied.call, wait_ms * 1_000);
--- a/crates/core/src/systems/homes/home.rs
+++ b/crates/core/src/systems/homes/home.rs
@@ -362,7 +362,7 @@
         Some(program) => tree::build_continuation(tick, key).filter(|_| is_last(program)),
         // The program ended while its last turn was in progress.
         None => {
-            let tombstone = tick.tables.homes.over.get(key);
+            let tombstone = tick.tables.homes.tombstones.get(key);
             let tombstone = tombstone.filter(|tombstone| is_last(&tombstone.row));
             tombstone.map(|tombstone| tombstone.state.clone())
         }
--- a/crates/core/src/systems/homes/lifecycle.rs
+++ b/crates/core/src/systems/homes/lifecycle.rs
@@ -32,9 +32,17 @@
     }
     let program = tick.tables.programs.get(key);
     let is_target = program.is_some_and(|p| generation.is_none_or(|g| g == p.generation));
-    if tick.tables.homes.ended.insert(request, ()).is_none() {
+    if tick
+        .tables
+        .homes
+        .ended_requests
+        .insert(request, ())
+        .is_none()
+    {
         let due_us = tick.now_us + ENDED_RETENTION_MS * 1_000;
-        tick.tables.timers.set(due_us, Timer::EndedForget(request));
+        tick.tables
+            .timers
+            .set(due_us, Timer::EndedRequestExpiry(request));
         if is_target {
             close(tick, key, OverReason::Ended);
         }
@@ -100,21 +108,21 @@
             row,
             until_us,
         };
-        tick.tables.homes.over.insert(key.clone(), tombstone);
-        let timer = Timer::TombstoneForget(key.clone());
+        tick.tables.homes.tombstones.insert(key.clone(), tombstone);
+        let timer = Timer::TombstoneExpiry(key.clone());
         tick.tables.timers.set(until_us, timer);
     }
 }
 
 /// Returns whether a generation of a program is known to be over.
 pub(super) fn has_tombstone(tick: &Tick<'_>, key: &ProgramKey, generation: u64) -> bool {
-    let tombstone = tick.tables.homes.over.get(key);
+    let tombstone = tick.tables.homes.tombstones.get(key);
     tombstone.is_some_and(|tombstone| tombstone.state.generation == generation)
 }
 
 /// Returns whether a request may have run before, for a program without a row.
 pub(super) fn prior_execution(tick: &Tick<'_>, begin: &Begin) -> Execution {
-    let tombstone = tick.tables.homes.over.get(&begin.program);
+    let tombstone = tick.tables.homes.tombstones.get(&begin.program);
     match (tombstone, &begin.permit) {
         (Some(tombstone), _) => turn_order::prior_execution(tick, &tombstone.row, begin),
         (None, Some(_)) => Execution::MayHaveRun,
@@ -124,7 +132,7 @@
 
 /// Removes the tombstone of a program once it has expired.
 pub(super) fn expire_tombstone(tick: &mut Tick<'_>, key: &ProgramKey) {
-    let tombstones = &mut tick.tables.homes.over;
+    let tombstones = &mut tick.tables.homes.tombstones;
     if tombstones
         .get(key)
         .is_some_and(|tombstone| tombstone.until_us <= tick.now_us)
--- a/crates/core/src/systems/homes/mod.rs
+++ b/crates/core/src/systems/homes/mod.rs
@@ -128,10 +128,10 @@
             permit,
         } => settlement::handle_settled(tick, call, continuation, permit),
         HomesMessage::Probe { call, program } => {
-            entry::handle_probe(tick, &sender.vm, call, program)
+            entry::handle_probe(tick, &sender.vm, call, program);
         }
         HomesMessage::PermitIs { request, permit } => {
-            requests::handle_permit(tick, request, permit)
+            requests::handle_permit(tick, request, permit);
         }
         HomesMessage::Ended { request } => requests::handle_ended(tick, request),
         HomesMessage::Witness {
@@ -150,15 +150,15 @@
         Timer::TurnRetry(call) => entry::retry(tick, call),
         Timer::SettleRetry(call) => settlement::send(tick, call),
         Timer::RequestRetry(request) => requests::send(tick, request),
-        Timer::TombstoneForget(program) => lifecycle::expire_tombstone(tick, &program),
-        Timer::WitnessForget(program) => witness::expire_record(tick, &program),
+        Timer::TombstoneExpiry(program) => lifecycle::expire_tombstone(tick, &program),
+        Timer::WitnessExpiry(program) => witness::expire_record(tick, &program),
         Timer::TransferRetry(transfer) => transfers::send(tick, transfer),
         Timer::TurnWait(call) => wait_queue::expire(tick, call),
         Timer::TurnProbe(program, call) => home::probe(tick, program, call),
         Timer::ProgramLease(program) => lifecycle::check_lease(tick, &program),
         Timer::ReleaseRetry(release) => release::send(tick, release),
-        Timer::EndedForget(request) => {
-            tick.tables.homes.ended.remove(&request);
+        Timer::EndedRequestExpiry(request) => {
+            tick.tables.homes.ended_requests.remove(&request);
         }
         _ => {}
     }
--- a/crates/core/src/systems/homes/requests.rs
+++ b/crates/core/src/systems/homes/requests.rs
@@ -6,7 +6,7 @@
 use crate::input::{Permit, ProgramRequest, ProgramRequestKind};
 use crate::message::{Denied, HomesMessage, PermitRequest};
 use crate::output::{Execution, Output, RefusalKind};
-use crate::tables::{ProgramAsk, Timer};
+use crate::tables::{PendingProgramRequest, Timer};
 
 /// Longest delay between two sends of a request.
 const MAX_REQUEST_BACKOFF_MS: u64 = 1_000;
@@ -38,11 +38,11 @@
             generation: request.continuation.map(|carried| carried.generation),
         },
     };
-    let pending = ProgramAsk {
+    let pending = PendingProgramRequest {
         program,
         message,
         tries: 0,
-        give_up_us: tick.now_us + HOME_TIMEOUT_MS * 1_000,
+        deadline_us: tick.now_us + HOME_TIMEOUT_MS * 1_000,
     };
     tick.tables.homes.requests.insert(id, pending);
     send(tick, id);
@@ -54,7 +54,7 @@
     let Some(pending) = tick.tables.homes.requests.get_mut(&id) else {
         return;
     };
-    if now_us >= pending.give_up_us {
+    if now_us >= pending.deadline_us {
         tick.tables.homes.requests.remove(&id);
         refuse(
             tick,
--- a/crates/core/src/systems/homes/settlement.rs
+++ b/crates/core/src/systems/homes/settlement.rs
@@ -29,7 +29,7 @@
     let upstreams = upstreams_of(call);
     witness::record_upstreams(tick, &program, &upstreams);
     let settle = Settle {
-        call: call.new.id,
+        call: call.request.id,
         state: state_before(call, program),
         turn,
         ran,
@@ -43,18 +43,21 @@
         since_us: tick.now_us,
         tries: 0,
     };
-    tick.tables.homes.settles.insert(call.new.id, pending);
-    send(tick, call.new.id);
+    tick.tables
+        .homes
+        .pending_settles
+        .insert(call.request.id, pending);
+    send(tick, call.request.id);
 }
 
 /// Returns the turn of a call as it is reported to a home; `None` outside of a program.
 pub(super) fn running_turn(call: &Call) -> Option<RunningTurn> {
     Some(RunningTurn {
-        call: call.new.id,
-        number: call.new.program.as_ref()?.turn,
+        call: call.request.id,
+        number: call.request.program.as_ref()?.turn,
         idempotent: call.idempotent,
-        reserve_tokens: call.reserve_tokens(),
-        digest: call.new.digest,
+        reserve_tokens: call.max_total_tokens(),
+        digest: call.request.digest,
         pool: call.pool.clone(),
     })
 }
@@ -74,7 +77,7 @@
     if let Some(state) = &call.state {
         return (**state).clone();
     }
-    let turn = call.new.program.as_ref();
+    let turn = call.request.program.as_ref();
     if let Some(carried) = turn.and_then(|turn| turn.continuation.clone()) {
         return carried;
     }
@@ -92,7 +95,7 @@
 /// Sends a `Settle` to the current home and schedules the next attempt.
 pub(super) fn send(tick: &mut Tick<'_>, id: CallId) {
     let now_us = tick.now_us;
-    let Some(pending) = tick.tables.homes.settles.get_mut(&id) else {
+    let Some(pending) = tick.tables.homes.pending_settles.get_mut(&id) else {
         return;
     };
     pending.tries += 1;
@@ -123,7 +126,7 @@
     continuation: Option<Box<Continuation>>,
     permit: Option<Box<Permit>>,
 ) {
-    if tick.tables.homes.settles.remove(&id).is_none() {
+    if tick.tables.homes.pending_settles.remove(&id).is_none() {
         return;
     }
     if let Some(state) = &continuation {
--- a/crates/core/src/systems/homes/takeover.rs
+++ b/crates/core/src/systems/homes/takeover.rs
@@ -9,7 +9,7 @@
 use crate::ids::{Epoch, Incarnation, ProgramKey, UpstreamName, VmName};
 use crate::message::{HandOver, HandedProgram, HomesMessage};
 use crate::output::{Decision, TakeoverSource};
-use crate::tables::{HandedOver, Program, Release, Timer, View};
+use crate::tables::{HandOverProgress, Program, Release, Timer, View};
 
 /// Number of earlier views that are remembered.
 ///
@@ -31,7 +31,7 @@
 /// Returns the identity of this VM in a view, if it is a member with its present incarnation.
 fn own_identity_in<'a>(tick: &Tick<'_>, view: &'a View) -> Option<MemberIdentity<'a>> {
     let settings = tick.settings;
-    let member = view.member_at(&settings.vm, settings.incarnation)?;
+    let member = view.member_with_incarnation(&settings.vm, settings.incarnation)?;
     Some((&member.vm, member.incarnation, member.joined))
 }
 
@@ -43,7 +43,10 @@
 
 /// Returns whether a VM is a member with the given incarnation.
 pub(super) fn is_member(tick: &Tick<'_>, vm: &VmName, incarnation: Incarnation) -> bool {
-    tick.tables.view.member_at(vm, incarnation).is_some()
+    tick.tables
+        .view
+        .member_with_incarnation(vm, incarnation)
+        .is_some()
 }
 
 /// Checks that this VM may act as home of a program.
@@ -60,7 +63,7 @@
     if !tables.lease.is_valid(now_us) {
         return Err(MOVING_RETRY_AFTER_MS);
     }
-    let from_us = tables.acts_from_us(tick.settings, |view| view.program_home(key));
+    let from_us = tables.may_act_from_us(tick.settings, |view| view.program_home(key));
     match from_us {
         None => Err(MOVING_RETRY_AFTER_MS),
         Some(from_us) if from_us <= now_us || was_handed_over(tick, key) => Ok(()),
@@ -75,9 +78,9 @@
         let Some((vm, ..)) = home_in(view, key).filter(|_| !is_home_in(tick, view, key)) else {
             return is_home_in(tick, view, key);
         };
-        let handed = tick.tables.homes.handed_over.get(vm);
+        let handed = tick.tables.homes.hand_overs.get(vm);
         handed.is_some_and(|handed| {
-            handed.epoch > view.epoch && handed.from_us.is_some_and(|at| at <= tick.now_us)
+            handed.epoch > view.epoch && handed.effective_us.is_some_and(|at| at <= tick.now_us)
         })
     };
     !past_views.is_empty() && past_views.iter().all(|past| has_handed_over(&past.view))
@@ -87,7 +90,7 @@
 ///
 /// The answer is `false` if the epoch is older than the remembered views.
 pub(super) fn was_home_since(tick: &Tick<'_>, key: &ProgramKey, since: Epoch) -> bool {
-    let past_views = tick.tables.homes.past.iter();
+    let past_views = tick.tables.homes.view_history.iter();
     for view in std::iter::once(&tick.tables.view).chain(past_views) {
         if !is_home_in(tick, view, key) {
             return false;
@@ -102,7 +105,10 @@
 /// Returns whether no other VM was the home of a program in any remembered view.
 pub(super) fn was_always_home(tick: &Tick<'_>, key: &ProgramKey) -> bool {
     let homes = &tick.tables.homes;
-    homes.past.iter().all(|view| is_home_in(tick, view, key))
+    homes
+        .view_history
+        .iter()
+        .all(|view| is_home_in(tick, view, key))
 }
 
 /// Moves programs to their new homes after a change of the view.
@@ -116,7 +122,7 @@
     let old = std::mem::replace(&mut tick.tables.homes.view, new.clone());
     // The founder of the fleet knows that there were no homes before its first view.
     if old.epoch > Epoch::default() || !tick.tables.membership.is_founder {
-        let past = &mut tick.tables.homes.past;
+        let past = &mut tick.tables.homes.view_history;
         past.push_front(old.clone());
         past.truncate(MAX_PAST_VIEWS);
     }
@@ -290,8 +296,8 @@
 
 /// Returns when the complete hand-over of a VM takes effect, if it is of this epoch or later.
 fn hand_over_effective_us(tick: &Tick<'_>, vm: &VmName, epoch: Epoch) -> Option<u64> {
-    let handed = tick.tables.homes.handed_over.get(vm)?;
-    handed.from_us.filter(|_| handed.epoch >= epoch)
+    let handed = tick.tables.homes.hand_overs.get(vm)?;
+    handed.effective_us.filter(|_| handed.epoch >= epoch)
 }
 
 /// Handles the confirmation of a transfer.
@@ -346,19 +352,19 @@
     let now_us = tick.now_us;
     let homes = &mut tick.tables.homes;
     let row = homes
-        .handed_over
-        .get_or_insert_with(vm, HandedOver::default);
+        .hand_overs
+        .get_or_insert_with(vm, HandOverProgress::default);
     if row.epoch < epoch {
-        *row = HandedOver {
+        *row = HandOverProgress {
             epoch,
-            ..HandedOver::default()
+            ..HandOverProgress::default()
         };
     }
     if row.epoch == epoch && !row.received.contains(&transfer) {
         row.received.push(transfer);
     }
-    if row.epoch == epoch && row.received.len() as u32 == messages && row.from_us.is_none() {
-        row.from_us = Some(now_us + wait_us);
+    if row.epoch == epoch && row.received.len() as u32 == messages && row.effective_us.is_none() {
+        row.effective_us = Some(now_us + wait_us);
     }
 }
 
--- a/crates/core/src/systems/homes/wait_queue.rs
+++ b/crates/core/src/systems/homes/wait_queue.rs
@@ -5,7 +5,7 @@
 use crate::ids::{CallId, ProgramKey, VmName};
 use crate::message::{Begin, HomesMessage};
 use crate::output::{Execution, RefusalKind};
-use crate::tables::{Timer, Wait};
+use crate::tables::{Timer, WaitingCall};
 
 /// Adds a call to the waiting calls of its program.
 ///
@@ -15,7 +15,7 @@
     let Some(program) = tick.tables.programs.get_mut(&begin.program) else {
         return;
     };
-    let wait = Wait {
+    let wait = WaitingCall {
         vm: vm.clone(),
         begin,
         is_attached,
@@ -37,7 +37,7 @@
 }
 
 /// Removes a call from the waiting calls of its program.
-pub(super) fn remove(tick: &mut Tick<'_>, call: CallId) -> Option<Wait> {
+pub(super) fn remove(tick: &mut Tick<'_>, call: CallId) -> Option<WaitingCall> {
     let waits = &mut tick.tables.homes.waits;
     let wait = waits.remove(&call)?;
     let Some(program) = tick.tables.programs.get_mut(&wait.begin.program) else {
@@ -59,7 +59,7 @@
 }
 
 /// Removes and returns all waiting calls of a program, lowest turn first.
-pub(super) fn take_all(tick: &mut Tick<'_>, key: &ProgramKey) -> Vec<Wait> {
+pub(super) fn take_all(tick: &mut Tick<'_>, key: &ProgramKey) -> Vec<WaitingCall> {
     let program = tick.tables.programs.get_mut(key);
     let mut next = program.and_then(|program| program.first_wait.take());
     let mut taken = Vec::new();
--- a/crates/core/src/systems/homes/witness.rs
+++ b/crates/core/src/systems/homes/witness.rs
@@ -10,7 +10,7 @@
 use crate::input::Continuation;
 use crate::message::{HomesMessage, RunningTurn, Witness};
 use crate::output::{Execution, OverReason, TakeoverSource};
-use crate::tables::{KeptWitness, Stage, Timer, View};
+use crate::tables::{Stage, Timer, View, WitnessRecord};
 
 /// Witnesses per message, which keeps it far below the limit of 256 KB.
 const MAX_WITNESSES_PER_MESSAGE: usize = 128;
@@ -23,7 +23,7 @@
     if let Some(record) = record
         && record.witness.state.generation == state.generation
     {
-        record.seen_us = now_us;
+        record.last_seen_us = now_us;
         if state.turn >= record.witness.state.turn {
             record.witness.state = state;
         }
@@ -37,7 +37,10 @@
         idle_ms: 0,
     };
     let seen_us = now_us;
-    let record = KeptWitness { witness, seen_us };
+    let record = WitnessRecord {
+        witness,
+        last_seen_us: seen_us,
+    };
     if tick
         .tables
         .homes
@@ -46,7 +49,7 @@
         .is_none()
     {
         let due_us = now_us + tick.settings.program_lease_ms * 1_000;
-        tick.tables.timers.set(due_us, Timer::WitnessForget(key));
+        tick.tables.timers.set(due_us, Timer::WitnessExpiry(key));
     }
 }
 
@@ -89,9 +92,9 @@
     let Some(record) = tick.tables.homes.witnesses.get(key) else {
         return;
     };
-    let due_us = record.seen_us + tick.settings.program_lease_ms * 1_000;
+    let due_us = record.last_seen_us + tick.settings.program_lease_ms * 1_000;
     if due_us > tick.now_us {
-        let timer = Timer::WitnessForget(key.clone());
+        let timer = Timer::WitnessExpiry(key.clone());
         tick.tables.timers.set(due_us, timer);
     } else {
         tick.tables.homes.witnesses.remove(key);
@@ -133,7 +136,7 @@
         .filter(|(key, _)| takeover::home_in(old, key) != takeover::home_in(new, key))
         .map(|(key, record)| {
             let mut witness = record.witness.clone();
-            witness.idle_ms = tick.now_us.saturating_sub(record.seen_us) / 1_000;
+            witness.idle_ms = tick.now_us.saturating_sub(record.last_seen_us) / 1_000;
             if let Some((turns, upstreams)) = running.remove(key) {
                 witness.running = turns;
                 witness.upstreams.extend(upstreams);
@@ -145,7 +148,7 @@
 
 /// Returns witnesses that mark the ended programs of this VM as ended at their new homes.
 fn tombstone_witnesses(tick: &Tick<'_>, old: &View, new: &View) -> Vec<Witness> {
-    let tombstones = tick.tables.homes.over.iter();
+    let tombstones = tick.tables.homes.tombstones.iter();
     tombstones
         .filter(|(key, _)| takeover::home_in(old, key) != takeover::home_in(new, key))
         .map(|(_, tombstone)| Witness {
@@ -175,7 +178,7 @@
             entry.1.extend(settlement::upstreams_of(call));
         }
     }
-    for (id, pending) in tick.tables.homes.settles.iter() {
+    for (id, pending) in tick.tables.homes.pending_settles.iter() {
         let settle = &pending.settle;
         if settle.ran == Execution::NotRun || tick.tables.calls.contains_key(id) {
             continue;
--- a/crates/core/src/systems/membership/answers.rs
+++ b/crates/core/src/systems/membership/answers.rs
@@ -6,7 +6,7 @@
 use super::{leases, leaving, views};
 use crate::ids::VmName;
 use crate::message::{Heartbeat, HeartbeatAnswer, MembershipMessage};
-use crate::tables::{Asked, Vm};
+use crate::tables::{HeartbeatRequest, Vm};
 
 /// Handles a heartbeat.
 pub(super) fn heartbeat(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
@@ -34,7 +34,7 @@
         .tables
         .vms
         .get_or_insert_with(&sender.vm, || Vm::new(sender.incarnation, now_us));
-    row.heard_us = now_us;
+    row.last_heard_us = now_us;
     row.epoch = row.epoch.max(heartbeat.epoch);
     row.revision = row.revision.max(heartbeat.revision);
     row.leaving |= heartbeat.leaving;
@@ -46,18 +46,18 @@
     let Some(row) = tick.tables.vms.get_mut(&sender.vm) else {
         return;
     };
-    let before = row.asked;
+    let before = row.heartbeat_request;
     // A delayed or duplicate heartbeat must not replace a newer request.
     if before.is_some_and(|asked| asked.round >= heartbeat.round) {
         return;
     }
-    row.asked = Some(Asked {
+    row.heartbeat_request = Some(HeartbeatRequest {
         round: heartbeat.round,
         at_us: now_us,
         answered_us: before.map_or(0, |asked| asked.answered_us),
-        told_us: before.map_or(0, |asked| asked.told_us),
-        told_revision: heartbeat.revision,
-        told_promise: before.is_some_and(|asked| asked.told_promise),
+        sent_confirmation_us: before.map_or(0, |asked| asked.sent_confirmation_us),
+        sent_revision: heartbeat.revision,
+        sent_promise: before.is_some_and(|asked| asked.sent_promise),
     });
 }
 
@@ -72,7 +72,10 @@
     if !tables.membership.peers.is_tree || has_news {
         return true;
     }
-    let asked = tables.vms.get(&sender.vm).and_then(|row| row.asked);
+    let asked = tables
+        .vms
+        .get(&sender.vm)
+        .and_then(|row| row.heartbeat_request);
     asked.is_none_or(|asked| {
         let quiet_us = tick.now_us.saturating_sub(asked.answered_us);
         quiet_us > tick.settings.touch_ms * 1_000
@@ -85,13 +88,17 @@
     let promises = leases::promise(tick);
     let tables = &mut *tick.tables;
     let confirmed_us = tables.lease.confirmed_us;
-    let Some(asked) = tables.vms.get_mut(vm).and_then(|row| row.asked.as_mut()) else {
+    let Some(asked) = tables
+        .vms
+        .get_mut(vm)
+        .and_then(|row| row.heartbeat_request.as_mut())
+    else {
         return;
     };
     asked.answered_us = now_us;
-    asked.told_us = confirmed_us.unwrap_or(0);
-    asked.told_revision = tables.fleet.revision;
-    asked.told_promise = promises;
+    asked.sent_confirmation_us = confirmed_us.unwrap_or(0);
+    asked.sent_revision = tables.fleet.revision;
+    asked.sent_promise = promises;
     let age_us = |moment_us: u64| asked.at_us as i64 - moment_us as i64;
     let answer = HeartbeatAnswer {
         round: asked.round,
@@ -107,7 +114,7 @@
 pub(super) fn answered(tick: &mut Tick<'_>, sender: &Sender, answer: &HeartbeatAnswer) {
     let now_us = tick.now_us;
     if let Some(row) = tick.tables.vms.get_mut(&sender.vm) {
-        row.heard_us = now_us;
+        row.last_heard_us = now_us;
         row.epoch = row.epoch.max(answer.epoch);
         row.revision = row.revision.max(answer.revision);
     }
@@ -120,7 +127,7 @@
         // A confirmation of a newer view does not confirm the one in force here.
         return;
     }
-    let rounds = &tick.tables.membership.rounds;
+    let rounds = &tick.tables.membership.sent_rounds;
     let Some(&(_, asked_us)) = rounds.iter().find(|(round, _)| *round == answer.round) else {
         return;
     };
@@ -159,14 +166,14 @@
     let step_us = tick.settings.touch_ms * 1_000 * 3 / 4;
     let kept_us = tick.settings.suspect_ms * 1_000;
     let wants_news = |row: &Vm| {
-        let Some(asked) = row.asked else {
+        let Some(asked) = row.heartbeat_request else {
             return false;
         };
         let is_recent = now_us.saturating_sub(asked.at_us) < kept_us;
-        let is_confirmed = confirmed_us >= asked.told_us + step_us;
-        let is_first = promises && !asked.told_promise;
+        let is_confirmed = confirmed_us >= asked.sent_confirmation_us + step_us;
+        let is_first = promises && !asked.sent_promise;
         let is_promised = promises && now_us >= asked.answered_us + step_us;
-        let is_behind = asked.told_revision < tables.fleet.revision;
+        let is_behind = asked.sent_revision < tables.fleet.revision;
         is_recent && (is_first || is_tree && (is_confirmed || is_promised || is_behind))
     };
     let waiting: Vec<VmName> = tables
--- a/crates/core/src/systems/membership/joining.rs
+++ b/crates/core/src/systems/membership/joining.rs
@@ -29,7 +29,9 @@
     let (now_us, settings) = (tick.now_us, tick.settings);
     let tables = &mut *tick.tables;
     let view = &tables.view;
-    let is_member = view.member_at(&settings.vm, settings.incarnation).is_some();
+    let is_member = view
+        .member_with_incarnation(&settings.vm, settings.incarnation)
+        .is_some();
     if is_member || tables.membership.departure.is_draining {
         return;
     }
@@ -51,19 +53,22 @@
         return;
     }
     let view = &tick.tables.view;
-    if view.member_at(&member.vm, member.incarnation).is_some() {
+    if view
+        .member_with_incarnation(&member.vm, member.incarnation)
+        .is_some()
+    {
         // The sender is a member already: it missed the view that added it.
         views::request(tick, &sender.vm, Epoch::default());
         return;
     }
-    let joins = &mut tick.tables.membership.joins;
+    let joins = &mut tick.tables.membership.join_requests;
     joins.insert(member.vm.clone(), (member, tick.now_us));
 }
 
 /// Returns the VMs whose join requests have not expired.
 pub(super) fn wanted(tick: &Tick<'_>) -> Vec<Member> {
     let oldest_us = tick.now_us.saturating_sub(JOIN_KEPT_US);
-    let joins = tick.tables.membership.joins.values();
+    let joins = tick.tables.membership.join_requests.values();
     joins
         .filter(|(_, at_us)| *at_us >= oldest_us)
         .map(|(member, _)| member.clone())
--- a/crates/core/src/systems/membership/leases.rs
+++ b/crates/core/src/systems/membership/leases.rs
@@ -4,7 +4,7 @@
 use super::super::{Sender, Tick};
 use crate::config::CoreSettings;
 use crate::output::Decision;
-use crate::tables::RequestKind;
+use crate::tables::StoreRequestKind;
 
 /// Records that the view, or an older one, was in force at a time, and renews the lease.
 pub(super) fn confirm(tick: &mut Tick<'_>, moment_us: u64) {
@@ -19,7 +19,9 @@
 pub(super) fn refresh(tick: &mut Tick<'_>) {
     let settings = tick.settings;
     let tables = &mut *tick.tables;
-    let member = tables.view.member_at(&settings.vm, settings.incarnation);
+    let member = tables
+        .view
+        .member_with_incarnation(&settings.vm, settings.incarnation);
     tables.lease.until_us = match (member, tables.lease.confirmed_us) {
         (Some(_), Some(confirmed_us)) => confirmed_us + settings.lease_ms * 1_000,
         _ => 0,
@@ -33,9 +35,15 @@
 pub(super) fn is_promising(tick: &Tick<'_>) -> bool {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let store = &tables.membership.store;
-    let writes =
-        store.unresolved.is_some() || store.pending.is_some_and(|p| p.kind == RequestKind::Write);
-    if writes || !tables.view.is_writer_at(&settings.vm, settings.incarnation) {
+    let writes = store.unresolved.is_some()
+        || store
+            .pending
+            .is_some_and(|p| p.kind == StoreRequestKind::Write);
+    if writes
+        || !tables
+            .view
+            .is_writer_with_incarnation(&settings.vm, settings.incarnation)
+    {
         return false;
     }
     // A promise delays view changes, so a brief slowdown of the store must not
@@ -60,7 +68,7 @@
     let pending = tick.tables.membership.store.pending;
     pending.is_some_and(|pending| {
         let waited_us = tick.now_us.saturating_sub(pending.sent_us);
-        pending.kind == RequestKind::Touch && waited_us >= tick.settings.touch_ms * 500
+        pending.kind == StoreRequestKind::Touch && waited_us >= tick.settings.touch_ms * 500
     })
 }
 
@@ -105,7 +113,7 @@
     if !tick
         .tables
         .view
-        .is_writer_at(&sender.vm, sender.incarnation)
+        .is_writer_with_incarnation(&sender.vm, sender.incarnation)
     {
         return;
     }
@@ -123,7 +131,8 @@
     let view = &tick.tables.view;
     let is_writer = view.is_writer(&settings.vm);
     // A restarted writer cannot promise on behalf of its previous incarnation.
-    let is_restarted = is_writer && !view.is_writer_at(&settings.vm, settings.incarnation);
+    let is_restarted =
+        is_writer && !view.is_writer_with_incarnation(&settings.vm, settings.incarnation);
     if view.writers.is_empty() || is_restarted || (is_writer && !promise(tick)) {
         return;
     }
--- a/crates/core/src/systems/membership/leaving.rs
+++ b/crates/core/src/systems/membership/leaving.rs
@@ -15,7 +15,9 @@
     tick.tables.membership.departure.is_draining = true;
     let settings = tick.settings;
     let view = &tick.tables.view;
-    let is_member = view.member_at(&settings.vm, settings.incarnation).is_some();
+    let is_member = view
+        .member_with_incarnation(&settings.vm, settings.incarnation)
+        .is_some();
     if !is_member {
         // A VM that is no member has nothing to hand over.
         tick.tables.membership.departure.has_left = true;
@@ -30,7 +32,10 @@
 /// Records that a member is leaving.
 pub(super) fn note(tick: &mut Tick<'_>, sender: &Sender) {
     let view = &tick.tables.view;
-    if view.member_at(&sender.vm, sender.incarnation).is_some() {
+    if view
+        .member_with_incarnation(&sender.vm, sender.incarnation)
+        .is_some()
+    {
         let leaving = &mut tick.tables.membership.leaving;
         leaving.insert(sender.vm.clone(), sender.incarnation);
     }
--- a/crates/core/src/systems/membership/peers.rs
+++ b/crates/core/src/systems/membership/peers.rs
@@ -5,7 +5,7 @@
 
 use super::super::Tick;
 use crate::ids::VmName;
-use crate::tables::{Peers, View, hash_name};
+use crate::tables::{HeartbeatPeers, View, hash_name};
 
 /// Largest fleet in which every member sends heartbeats to all others.
 pub(super) const MAX_ALL_TO_ALL: usize = 9;
@@ -29,7 +29,9 @@
 pub(super) fn choose(tick: &mut Tick<'_>) {
     let view = &tick.tables.view;
     let me = &tick.settings.vm;
-    let is_member = view.member_at(me, tick.settings.incarnation).is_some();
+    let is_member = view
+        .member_with_incarnation(me, tick.settings.incarnation)
+        .is_some();
     let now_us = tick.now_us;
     let mut peers = if !is_member {
         outside(view, me)
@@ -57,21 +59,21 @@
 }
 
 /// Returns the peers of a VM that is no member: a few members, by hash.
-fn outside(view: &View, me: &VmName) -> Peers {
+fn outside(view: &View, me: &VmName) -> HeartbeatPeers {
     let mut members = others(view, me);
     members.sort_by_key(|vm| hash_name(vm.as_str(), hash_name(me.as_str(), RING)));
     members.truncate(MAX_ALL_TO_ALL);
-    Peers {
+    HeartbeatPeers {
         parents: members,
         is_tree: view.members.len() > MAX_ALL_TO_ALL,
-        ..Peers::default()
+        ..HeartbeatPeers::default()
     }
 }
 
 /// Returns the peers in a small fleet: all other members.
-fn all(view: &View, me: &VmName) -> Peers {
+fn all(view: &View, me: &VmName) -> HeartbeatPeers {
     let others = others(view, me);
-    Peers {
+    HeartbeatPeers {
         parents: others.clone(),
         watchers: others.clone(),
         watched: others.into_iter().map(|vm| (vm, 0)).collect(),
@@ -84,11 +86,11 @@
 /// Members form a tree of pairs; both VMs of a pair are the parents of the
 /// members in the pairs below. The writers are the root pair. The fan-out
 /// covers parents, watchers and children.
-fn tree(view: &View, me: &VmName, fan_out: usize) -> Peers {
+fn tree(view: &View, me: &VmName, fan_out: usize) -> HeartbeatPeers {
     let ring = ring(view);
     let at = ring.iter().position(|vm| vm == me).unwrap_or(0);
     let before = |step: usize| ring[(at + ring.len() - step) % ring.len()].clone();
-    Peers {
+    HeartbeatPeers {
         parents: parents(view, &ring, me, fan_out),
         watchers: after(&ring, at),
         watched: (1..=WATCHERS).map(|step| (before(step), 0)).collect(),
--- a/crates/core/src/systems/membership/platform.rs
+++ b/crates/core/src/systems/membership/platform.rs
@@ -27,7 +27,7 @@
     let leaving = vms.iter().filter(|status| status.leaving);
     platform.leaving = leaving.map(|status| status.vm.clone()).collect();
     let listed: BTreeSet<VmName> = vms.into_iter().map(|status| status.vm).collect();
-    platform.gone = platform.seen.difference(&listed).cloned().collect();
+    platform.delisted = platform.seen.difference(&listed).cloned().collect();
     platform.seen.extend(listed.iter().cloned());
     platform.listed = Some(listed);
     check_writers(tick);
@@ -42,10 +42,10 @@
     let tables = &*tick.tables;
     let hears_all = !tables.membership.peers.is_tree;
     let is_silent = |vm: &VmName| {
-        let has_report = tables.membership.suspects.contains_key(vm);
+        let has_report = tables.membership.suspicions.contains_key(vm);
         has_report || (hears_all && !is_alive(tick, vm))
     };
-    let gone = tables.membership.platform.gone.iter();
+    let gone = tables.membership.platform.delisted.iter();
     gone.filter(|vm| tables.view.member(vm).is_some())
         .filter(|vm| **vm != tick.settings.vm && is_silent(vm))
         .cloned()
@@ -57,7 +57,7 @@
     let limit_us = tick.settings.suspect_ms * 1_000 / 2;
     let row = tick.tables.vms.get(vm);
     suspicion::is_heard(tick, vm)
-        && row.is_some_and(|row| tick.now_us.saturating_sub(row.heard_us) <= limit_us)
+        && row.is_some_and(|row| tick.now_us.saturating_sub(row.last_heard_us) <= limit_us)
 }
 
 /// Records since when all writers have ended.
@@ -71,7 +71,7 @@
     let writers = &tables.view.writers;
     let all_gone =
         !is_confirmed && !writers.is_empty() && writers.iter().all(|vm| is_gone(tick, vm));
-    let since_us = &mut tick.tables.membership.writers_gone_us;
+    let since_us = &mut tick.tables.membership.writers_missing_since_us;
     if !all_gone {
         *since_us = None;
     } else if since_us.is_none() {
@@ -94,13 +94,13 @@
     }
     let is_member = tables
         .view
-        .member_at(&tick.settings.vm, tick.settings.incarnation)
+        .member_with_incarnation(&tick.settings.vm, tick.settings.incarnation)
         .is_some();
     let platform = &tables.membership.platform;
     // A VM outside the view may have started after the writer left the list, so it
     // cannot require that the writer was listed before. It waits longer instead.
     let is_missing = if is_member {
-        platform.gone.contains(vm)
+        platform.delisted.contains(vm)
     } else {
         platform
             .listed
@@ -115,12 +115,12 @@
 /// By then the writers' last promises have expired. Jitter keeps the VMs from
 /// all writing at once.
 pub(super) fn replaces_writers_us(tick: &Tick<'_>) -> Option<u64> {
-    let since_us = tick.tables.membership.writers_gone_us?;
+    let since_us = tick.tables.membership.writers_missing_since_us?;
     let settings = tick.settings;
     let is_member = tick
         .tables
         .view
-        .member_at(&settings.vm, settings.incarnation)
+        .member_with_incarnation(&settings.vm, settings.incarnation)
         .is_some();
     let outside_us = if is_member { 0 } else { OUTSIDER_DELAY_US };
     let spread_us = hash_name(settings.vm.as_str(), REPLACEMENT) % SPREAD_US;
--- a/crates/core/src/systems/membership/rounds.rs
+++ b/crates/core/src/systems/membership/rounds.rs
@@ -41,9 +41,9 @@
         membership.round = hash_name(settings.vm.as_str(), settings.incarnation.0) >> 16;
     }
     membership.round += 1;
-    membership.rounds.push_back((membership.round, now_us));
-    if membership.rounds.len() > KEPT_ROUNDS {
-        membership.rounds.pop_front();
+    membership.sent_rounds.push_back((membership.round, now_us));
+    if membership.sent_rounds.len() > KEPT_ROUNDS {
+        membership.sent_rounds.pop_front();
     }
     let due_us = now_us + settings.heartbeat_ms * 1_000;
     tick.tables.timers.set(due_us, Timer::Heartbeat);
@@ -104,7 +104,10 @@
 /// Announces to the writers that this VM is leaving.
 pub(super) fn tell_leaving(tick: &mut Tick<'_>) {
     let (settings, view) = (tick.settings, &tick.tables.view);
-    if view.member_at(&settings.vm, settings.incarnation).is_none() {
+    if view
+        .member_with_incarnation(&settings.vm, settings.incarnation)
+        .is_none()
+    {
         return;
     }
     let writers = view.writers.clone();
--- a/crates/core/src/systems/membership/store.rs
+++ b/crates/core/src/systems/membership/store.rs
@@ -7,7 +7,9 @@
 use super::{leases, views, writing};
 use crate::input::{StoreEvent, StoredView};
 use crate::output::{Decision, Output, StoreRequest};
-use crate::tables::{PendingRequest, RequestKind, Timer, UnresolvedWrite, View, hash_name};
+use crate::tables::{
+    PendingStoreRequest, StoreRequestKind, Timer, UnresolvedWrite, View, hash_name,
+};
 
 /// Initial backoff after a request that was not answered.
 const MIN_PAUSE_US: u64 = 200_000;
@@ -102,18 +104,18 @@
 /// Backs off the reads of a VM that is cut off from the others.
 fn pause_isolated(tick: &mut Tick<'_>) {
     if !is_cut_off(tick) {
-        tick.tables.membership.store.lonely_reads = 0;
+        tick.tables.membership.store.isolated_reads = 0;
         return;
     }
-    let reads = tick.tables.membership.store.lonely_reads + 1;
+    let reads = tick.tables.membership.store.isolated_reads + 1;
     let pause_us = pause_us(tick, reads);
     let store = &mut tick.tables.membership.store;
-    store.lonely_reads = reads;
-    store.lonely_until_us = tick.now_us + pause_us;
+    store.isolated_reads = reads;
+    store.next_isolated_read_us = tick.now_us + pause_us;
 }
 
 /// Handles a view that this VM wrote.
-fn written(tick: &mut Tick<'_>, stored: &StoredView, pending: Option<PendingRequest>) {
+fn written(tick: &mut Tick<'_>, stored: &StoredView, pending: Option<PendingStoreRequest>) {
     let link = &mut tick.tables.membership.store;
     link.unresolved = None;
     link.conflicts = 0;
@@ -127,7 +129,7 @@
     }
     views::adopt(tick, &stored.view);
     views::welcome(tick);
-    if let Some(pending) = pending.filter(|pending| pending.kind == RequestKind::Write) {
+    if let Some(pending) = pending.filter(|pending| pending.kind == StoreRequestKind::Write) {
         leases::confirm(tick, pending.sent_us);
     }
 }
@@ -159,14 +161,14 @@
 }
 
 /// Handles a request that was not answered; it may have taken effect.
-fn unavailable(tick: &mut Tick<'_>, pending: Option<PendingRequest>) {
+fn unavailable(tick: &mut Tick<'_>, pending: Option<PendingStoreRequest>) {
     let failures = tick.tables.membership.store.failures + 1;
     let pause_us = pause_us(tick, failures);
     let link = &mut tick.tables.membership.store;
     link.failures = failures;
     link.touched_us = None;
     link.not_before_us = tick.now_us + pause_us;
-    if pending.is_some_and(|pending| pending.kind == RequestKind::Write) {
+    if pending.is_some_and(|pending| pending.kind == StoreRequestKind::Write) {
         link.needs_read = true;
     }
     // A single lost answer is not logged.
@@ -259,7 +261,9 @@
     let store = &tables.membership.store;
     let is_fresh = |at_us: u64| tick.now_us.saturating_sub(at_us) <= FRESH_US;
     // A store that holds an older view has answered, and a touch would conflict.
-    tables.view.is_writer_at(&settings.vm, settings.incarnation)
+    tables
+        .view
+        .is_writer_with_incarnation(&settings.vm, settings.incarnation)
         && !store.is_behind
         && !store.answered_us.is_some_and(is_fresh)
 }
@@ -270,7 +274,10 @@
     if !membership.store.is_absent {
         return (tick.now_us, Wanted::Read);
     }
-    let started_us = membership.rounds.front().map_or(0, |(_, at_us)| *at_us);
+    let started_us = membership
+        .sent_rounds
+        .front()
+        .map_or(0, |(_, at_us)| *at_us);
     // A store that lost its state must not start a second fleet, so configured peers
     // get time to answer with the view.
     let wait_us = if tick.settings.peers.is_empty() {
@@ -286,7 +293,7 @@
 fn touch_due_us(tick: &Tick<'_>) -> Option<u64> {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let view = &tables.view;
-    if !view.is_writer_at(&settings.vm, settings.incarnation) {
+    if !view.is_writer_with_incarnation(&settings.vm, settings.incarnation) {
         return None;
     }
     let interval_us = settings.touch_ms * 1_000;
@@ -303,7 +310,7 @@
 
 /// Returns when this VM reads the view next, if it is cut off from the others.
 fn read_due_us(tick: &Tick<'_>) -> Option<u64> {
-    is_cut_off(tick).then_some(tick.tables.membership.store.lonely_until_us)
+    is_cut_off(tick).then_some(tick.tables.membership.store.next_isolated_read_us)
 }
 
 /// Returns whether this VM has received no confirmation for longer than a lease.
@@ -320,7 +327,7 @@
     let expected_version = tick.tables.view_version;
     let link = &mut tick.tables.membership.store;
     let (kind, request) = match wanted {
-        Wanted::Read => (RequestKind::Read, StoreRequest::Read),
+        Wanted::Read => (StoreRequestKind::Read, StoreRequest::Read),
         Wanted::Touch => {
             link.touched_us = Some(tick.now_us);
             let view = tick.tables.view.clone();
@@ -328,7 +335,7 @@
                 view,
                 expected_version,
             };
-            (RequestKind::Touch, request)
+            (StoreRequestKind::Touch, request)
         }
         Wanted::Write(view) => {
             link.unresolved = Some(UnresolvedWrite {
@@ -339,11 +346,11 @@
                 view,
                 expected_version,
             };
-            (RequestKind::Write, request)
+            (StoreRequestKind::Write, request)
         }
     };
     link.requests += 1;
-    link.pending = Some(PendingRequest {
+    link.pending = Some(PendingStoreRequest {
         kind,
         sent_us: tick.now_us,
     });
--- a/crates/core/src/systems/membership/suspicion.rs
+++ b/crates/core/src/systems/membership/suspicion.rs
@@ -24,7 +24,11 @@
             continue;
         };
         let is_same = |row: &&Vm| row.incarnation == member.incarnation;
-        let heard_us = tables.vms.get(vm).filter(is_same).map_or(0, |r| r.heard_us);
+        let heard_us = tables
+            .vms
+            .get(vm)
+            .filter(is_same)
+            .map_or(0, |r| r.last_heard_us);
         if now_us.saturating_sub(heard_us.max(*since_us)) > limit_us {
             silent.push((vm.clone(), member.incarnation));
         }
@@ -41,7 +45,7 @@
     let now_us = tick.now_us;
     let limit_us = tick.settings.heartbeat_ms * 2_000;
     let membership = &mut tick.tables.membership;
-    let last_us = membership.watched_us.replace(now_us);
+    let last_us = membership.last_silence_check_us.replace(now_us);
     if last_us.is_some_and(|last_us| now_us > last_us + limit_us) {
         for since_us in membership.peers.watched.values_mut() {
             *since_us = now_us;
@@ -62,12 +66,14 @@
 pub(super) fn record(tick: &mut Tick<'_>, sender: &Sender, vm: VmName, incarnation: Incarnation) {
     let now_us = tick.now_us;
     let view = &tick.tables.view;
-    let is_known = view.member_at(&vm, incarnation).is_some()
-        && view.member_at(&sender.vm, sender.incarnation).is_some();
+    let is_known = view.member_with_incarnation(&vm, incarnation).is_some()
+        && view
+            .member_with_incarnation(&sender.vm, sender.incarnation)
+            .is_some();
     if !is_known || vm == tick.settings.vm {
         return;
     }
-    let suspects = &mut tick.tables.membership.suspects;
+    let suspects = &mut tick.tables.membership.suspicions;
     let is_first = !suspects.contains_key(&vm);
     let row = suspects.entry(vm.clone()).or_insert_with(|| Suspicion {
         incarnation,
@@ -87,7 +93,7 @@
 /// outside the set, and by at least one.
 pub(super) fn failed(tick: &Tick<'_>, gone: &BTreeSet<VmName>) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
-    let suspects = &tables.membership.suspects;
+    let suspects = &tables.membership.suspicions;
     if suspects.is_empty() {
         return BTreeSet::new();
     }
@@ -119,7 +125,7 @@
 /// Returns whether a watcher's report about a member has not expired.
 fn is_reported(tick: &Tick<'_>, vm: &VmName, by: &VmName) -> bool {
     let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_ROUNDS;
-    let suspect = tick.tables.membership.suspects.get(vm);
+    let suspect = tick.tables.membership.suspicions.get(vm);
     suspect
         .and_then(|suspect| suspect.reports.get(by))
         .is_some_and(|at_us| tick.now_us.saturating_sub(*at_us) <= kept_us)
@@ -133,13 +139,14 @@
     let (Some(member), Some(row)) = (tables.view.member(vm), tables.vms.get(vm)) else {
         return false;
     };
-    row.incarnation == member.incarnation && tick.now_us.saturating_sub(row.heard_us) <= limit_us
+    row.incarnation == member.incarnation
+        && tick.now_us.saturating_sub(row.last_heard_us) <= limit_us
 }
 
 /// Removes suspects whose reports have all expired.
 pub(super) fn forget_cleared(tick: &mut Tick<'_>) {
     let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_ROUNDS;
     let oldest_us = tick.now_us.saturating_sub(kept_us);
-    let suspects = &mut tick.tables.membership.suspects;
+    let suspects = &mut tick.tables.membership.suspicions;
     suspects.retain(|_, suspect| suspect.reports.values().any(|at_us| *at_us >= oldest_us));
 }
--- a/crates/core/src/systems/membership/views.rs
+++ b/crates/core/src/systems/membership/views.rs
@@ -123,18 +123,20 @@
 fn forget_proposals(tick: &mut Tick<'_>) {
     let tables = &mut *tick.tables;
     let (view, membership) = (&tables.view, &mut tables.membership);
-    membership
-        .joins
-        .retain(|vm, (member, _)| view.member_at(vm, member.incarnation).is_none());
-    membership
-        .suspects
-        .retain(|vm, suspect| view.member_at(vm, suspect.incarnation).is_some());
+    membership.join_requests.retain(|vm, (member, _)| {
+        view.member_with_incarnation(vm, member.incarnation)
+            .is_none()
+    });
+    membership.suspicions.retain(|vm, suspect| {
+        view.member_with_incarnation(vm, suspect.incarnation)
+            .is_some()
+    });
     membership
         .leaving
-        .retain(|vm, incarnation| view.member_at(vm, *incarnation).is_some());
-    membership.writers_gone_us = None;
-    membership.change_wanted_us = None;
-    membership.view_asked = None;
+        .retain(|vm, incarnation| view.member_with_incarnation(vm, *incarnation).is_some());
+    membership.writers_missing_since_us = None;
+    membership.change_wanted_since_us = None;
+    membership.view_requested = None;
 }
 
 /// Sends a new view to VMs that asked this one recently and do not know it.
@@ -153,14 +155,17 @@
     let behind: Vec<(VmName, Epoch)> = tables
         .vms
         .iter()
-        .filter(|(_, row)| row.epoch.max(row.told_epoch) < epoch)
-        .filter(|(_, row)| row.asked.is_some_and(|asked| asked.at_us >= oldest_us))
-        .map(|(vm, row)| (vm.clone(), row.epoch.max(row.told_epoch)))
+        .filter(|(_, row)| row.epoch.max(row.sent_epoch) < epoch)
+        .filter(|(_, row)| {
+            row.heartbeat_request
+                .is_some_and(|asked| asked.at_us >= oldest_us)
+        })
+        .map(|(vm, row)| (vm.clone(), row.epoch.max(row.sent_epoch)))
         .collect();
     for (vm, known) in behind {
         if let Some(row) = tick.tables.vms.get_mut(&vm) {
             // If the message is lost, the receiver requests the view after the next heartbeat.
-            row.told_epoch = epoch;
+            row.sent_epoch = epoch;
         }
         send_view(tick, &vm, known);
     }
@@ -219,7 +224,7 @@
     if epoch <= known {
         return;
     }
-    let asked = &mut tick.tables.membership.view_asked;
+    let asked = &mut tick.tables.membership.view_requested;
     if asked.is_some_and(|(asked, at_us)| asked >= epoch && now_us < at_us + ASK_AGAIN_US) {
         return;
     }
@@ -247,17 +252,17 @@
     let tables = &mut *tick.tables;
     let membership = &mut tables.membership;
     if membership
-        .forgotten_us
+        .last_expiry_us
         .is_some_and(|at_us| at_us > oldest_us)
     {
         return;
     }
-    membership.forgotten_us = Some(tick.now_us);
+    membership.last_expiry_us = Some(tick.now_us);
     membership
         .departed
         .retain(|_, row| row.since_us > oldest_us);
     membership
         .left
         .retain(|vm, _| membership.departed.contains_key(vm));
-    tables.vms.retain(|_, row| row.heard_us > oldest_us);
+    tables.vms.retain(|_, row| row.last_heard_us > oldest_us);
 }
--- a/crates/core/src/systems/membership/writing.rs
+++ b/crates/core/src/systems/membership/writing.rs
@@ -29,11 +29,11 @@
 pub(super) fn proposal(tick: &mut Tick<'_>) -> Option<Proposal> {
     let settings = tick.settings;
     if !may_change(tick) {
-        tick.tables.membership.change_wanted_us = None;
+        tick.tables.membership.change_wanted_since_us = None;
         return None;
     }
     let view = &tick.tables.view;
-    let is_writer = view.is_writer_at(&settings.vm, settings.incarnation);
+    let is_writer = view.is_writer_with_incarnation(&settings.vm, settings.incarnation);
     let allowed_us = if is_writer {
         tick.now_us
     } else {
@@ -49,10 +49,10 @@
     let is_behind = membership.store.is_behind;
     let current = &tick.tables.view;
     if view.members == current.members && view.writers == current.writers && !is_behind {
-        membership.change_wanted_us = None;
+        membership.change_wanted_since_us = None;
         return None;
     }
-    let wanted_us = *membership.change_wanted_us.get_or_insert(tick.now_us);
+    let wanted_us = *membership.change_wanted_since_us.get_or_insert(tick.now_us);
     let due_us = if is_writer {
         wanted_us + delay_us(tick, &removed)
     } else {
@@ -70,11 +70,11 @@
     let lacks_writers = view.writers.len() < WRITER_COUNT.min(view.members.len());
     lacks_writers
         || membership.store.is_behind
-        || membership.writers_gone_us.is_some()
-        || !membership.joins.is_empty()
-        || !membership.suspects.is_empty()
+        || membership.writers_missing_since_us.is_some()
+        || !membership.join_requests.is_empty()
+        || !membership.suspicions.is_empty()
         || !membership.leaving.is_empty()
-        || !membership.platform.gone.is_empty()
+        || !membership.platform.delisted.is_empty()
         || !membership.platform.leaving.is_empty()
 }
 
@@ -110,24 +110,30 @@
     view.epoch = view.epoch.next();
     view.members.retain(|member| !removed.contains(&member.vm));
     for member in joining::wanted(tick) {
-        view.put(Member {
+        view.insert_member(Member {
             joined: view.epoch,
             ..member
         });
     }
     let settings = tick.settings;
     let is_draining = tables.membership.departure.is_draining;
-    if !is_draining && view.member_at(&settings.vm, settings.incarnation).is_none() {
-        view.put(joining::entry(tick, view.epoch));
+    if !is_draining
+        && view
+            .member_with_incarnation(&settings.vm, settings.incarnation)
+            .is_none()
+    {
+        view.insert_member(joining::entry(tick, view.epoch));
     }
     for member in &mut view.members {
         member.leaving = tables.membership.platform.leaving.contains(&member.vm);
     }
     if view.members.is_empty()
-        && let Some(last) = tables.view.member_at(&settings.vm, settings.incarnation)
+        && let Some(last) = tables
+            .view
+            .member_with_incarnation(&settings.vm, settings.incarnation)
     {
         // All members are leaving: this writer stays until the others are removed.
-        view.put(last.clone());
+        view.insert_member(last.clone());
     }
     choose_writers(&mut view, &tables.view);
     view
--- a/crates/core/src/systems/orders/planning.rs
+++ b/crates/core/src/systems/orders/planning.rs
@@ -4,7 +4,7 @@
 use crate::config::ServiceKind;
 use crate::ids::{FencingToken, ModelName, ServiceName, UpstreamName};
 use crate::output::{Decision, Order, OrderAction, Output};
-use crate::tables::{Bucket, NCALLS_PER_CALL, OpenOrder, OrderBook, Timer};
+use crate::tables::{Bucket, NCALLS_PER_CALL, PendingOrder, ServiceOrders, Timer};
 
 /// Consecutive idle reports after which a model may be unloaded.
 ///
@@ -28,9 +28,9 @@
     tables.orders.retain(|name, _| services.contains_key(name));
     for (name, loads_per_min) in gained {
         let rate_mcalls_per_s = u64::from(loads_per_min) * 1_000 / 60;
-        let book = OrderBook {
+        let book = ServiceOrders {
             loads: Bucket::full(rate_mcalls_per_s, NCALLS_PER_CALL, tick.now_us),
-            ..OrderBook::default()
+            ..ServiceOrders::default()
         };
         tables.orders.insert(name.clone(), book);
         tables.timers.set(tick.now_us, Timer::OrdersReview(name));
@@ -66,7 +66,7 @@
         return None;
     }
     let owner = |view| orders_owner(view, service);
-    tick.tables.acts_from_us(tick.settings, owner)
+    tick.tables.may_act_from_us(tick.settings, owner)
 }
 
 /// Returns the owner of a service's orders in a view.
@@ -99,7 +99,7 @@
         return;
     };
     // The weight store is rate-limited, so loads are spread over time.
-    if matches!(action, OrderAction::Load(_)) && !book.loads.take(now_us) {
+    if matches!(action, OrderAction::Load(_)) && !book.loads.try_take(now_us) {
         return;
     }
     book.seq += 1;
@@ -107,7 +107,7 @@
         epoch,
         seq: book.seq,
     };
-    let open = OpenOrder {
+    let open = PendingOrder {
         token,
         action: action.clone(),
         sent_us: now_us,
@@ -119,7 +119,7 @@
 /// Returns the next action for an engine, `None` if none is needed or it reports no models.
 fn next_action(tick: &Tick<'_>, upstream: &UpstreamName) -> Option<OrderAction> {
     let row = tick.tables.upstreams.get(upstream)?;
-    let loaded = row.loaded.as_ref()?;
+    let loaded = row.loaded_models.as_ref()?;
     let desired = &row.config.models;
     let is_missing = |model: &&ModelName| !loaded.contains(model);
     if let Some(model) = desired.iter().find(is_missing) {
--- a/crates/core/src/systems/orders/results.rs
+++ b/crates/core/src/systems/orders/results.rs
@@ -20,10 +20,10 @@
     } else {
         0
     };
-    if row.loaded.as_ref() == Some(&models) {
+    if row.loaded_models.as_ref() == Some(&models) {
         return;
     }
-    row.loaded = Some(models);
+    row.loaded_models = Some(models);
     config::refresh_pools(tick, upstream);
 }
 
--- a/crates/core/src/systems/outcomes/ejection.rs
+++ b/crates/core/src/systems/outcomes/ejection.rs
@@ -11,7 +11,7 @@
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
     };
-    if !row.health.failed() {
+    if !row.health.record_failure() {
         return;
     }
     let failures = row.health.failures;
@@ -39,7 +39,7 @@
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
     };
-    let until_us = row.health.rest_full(tick.now_us);
+    let until_us = row.health.back_off_full(tick.now_us);
     let timer = Timer::UpstreamReady(upstream.clone());
     tick.tables.timers.set(until_us, timer);
     placement::refresh_availability(tick, upstream);
@@ -50,7 +50,7 @@
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return;
     };
-    let until_us = row.health.rest(tick.now_us);
+    let until_us = row.health.back_off(tick.now_us);
     let timer = Timer::UpstreamReady(upstream.clone());
     tick.tables.timers.set(until_us, timer);
     placement::refresh_availability(tick, upstream);
--- a/crates/core/src/systems/outcomes/mod.rs
+++ b/crates/core/src/systems/outcomes/mod.rs
@@ -41,7 +41,7 @@
     }
     for timer in work.due_timers {
         match timer {
-            Timer::CrashVerdict(upstream) => suspects::handle_probe_timeout(tick, &upstream),
+            Timer::CrashDecision(upstream) => suspects::handle_probe_timeout(tick, &upstream),
             Timer::SuspectIdle(digest) => suspects::expire_suspect(tick, digest),
             Timer::QuarantineEnd(digest) => quarantine::expire_quarantine(tick, digest),
             _ => {}
@@ -61,7 +61,7 @@
     }
     match event.progress {
         AttemptProgress::Sent => call.sent = true,
-        AttemptProgress::FirstToken => call.place.first_token_us = now_us,
+        AttemptProgress::FirstToken => call.placement.first_token_us = now_us,
         AttemptProgress::Finished(outcome) => results::complete_call(tick, attempt, outcome),
         AttemptProgress::Failed(failure) => retries::handle_failure(tick, attempt, failure),
     }
--- a/crates/core/src/systems/outcomes/quarantine.rs
+++ b/crates/core/src/systems/outcomes/quarantine.rs
@@ -50,6 +50,6 @@
     }
     tick.tables.quarantine.remove(&digest);
     if let Some(suspect) = tick.tables.suspects.get_mut(&digest) {
-        suspect.crashes = suspect.crashes.min(Suspect::ALONE_CRASHES);
+        suspect.crashes = suspect.crashes.min(Suspect::EXCLUSIVE_RUN_CRASHES);
     }
 }
--- a/crates/core/src/systems/outcomes/results.rs
+++ b/crates/core/src/systems/outcomes/results.rs
@@ -15,10 +15,10 @@
     };
     call.stage = Stage::Settling;
     if let Some(relay) = &mut call.relay {
-        relay.passed_tokens += outcome.answer_tokens;
+        relay.forwarded_tokens += outcome.answer_tokens;
     }
     let tokens = (outcome.prompt_tokens, outcome.answer_tokens);
-    let run = call.run_ended(outcome.answer_tokens, ChargeOutcome::Complete);
+    let run = call.to_last_run(outcome.answer_tokens, ChargeOutcome::Complete);
     let charge = run.map(|run| build_charge(call, run, outcome.prompt_tokens));
     tick.work.charges.charges.extend(charge);
     if call.program.is_none() {
@@ -76,10 +76,10 @@
         cached_tokens: outcome.cached_tokens,
         answer_tokens: outcome.answer_tokens,
         first_token_us: call
-            .place
+            .placement
             .first_token_us
-            .saturating_sub(call.place.dispatched_us),
-        total_us: now_us.saturating_sub(call.place.dispatched_us),
+            .saturating_sub(call.placement.dispatched_us),
+        total_us: now_us.saturating_sub(call.placement.dispatched_us),
     };
     placement::end_attempt(tick, finish);
 }
@@ -87,7 +87,7 @@
 /// Charges a call that ends without a complete response and may have run.
 pub(crate) fn charge_last_run(tick: &mut Tick<'_>, call: &Call) {
     if let Some(run) = &call.last_run {
-        let charge = build_charge(call, (**run).clone(), call.new.prompt_tokens);
+        let charge = build_charge(call, (**run).clone(), call.request.prompt_tokens);
         tick.work.charges.charges.push(charge);
     }
 }
@@ -96,12 +96,19 @@
 ///
 /// A resumed stream is charged for the tokens of all its attempts.
 fn build_charge(call: &Call, run: LastRun, prompt_tokens: u64) -> Charge {
-    let turn = call.new.program.as_ref().map_or(0, |program| program.turn);
-    let passed_tokens = call.relay.as_ref().map_or(0, |relay| relay.passed_tokens);
+    let turn = call
+        .request
+        .program
+        .as_ref()
+        .map_or(0, |program| program.turn);
+    let passed_tokens = call
+        .relay
+        .as_ref()
+        .map_or(0, |relay| relay.forwarded_tokens);
     Charge {
         attempt: run.attempt,
         account: call.account.clone(),
-        program: call.any_program().cloned().map(|key| (key, turn)),
+        program: call.program_key().cloned().map(|key| (key, turn)),
         upstream: run.upstream,
         prompt_tokens,
         answer_tokens: run.answer_tokens.max(passed_tokens),
--- a/crates/core/src/systems/outcomes/retries.rs
+++ b/crates/core/src/systems/outcomes/retries.rs
@@ -36,22 +36,22 @@
     };
     call.may_have_run |= !failure.is_not_run();
     if let Some(relay) = &mut call.relay {
-        relay.passed_tokens += failure.answer_tokens();
+        relay.forwarded_tokens += failure.answer_tokens();
     }
     match failure {
-        Failure::ConnectionLost { .. } => call.place.losses += 1,
+        Failure::ConnectionLost { .. } => call.placement.lost_connections += 1,
         Failure::CallerGone { answer_tokens } => {
-            call.used_tokens = Some(call.new.prompt_tokens + answer_tokens);
+            call.used_tokens = Some(call.request.prompt_tokens + answer_tokens);
         }
         Failure::NotSent => {}
-        _ => call.place.failures += 1,
+        _ => call.placement.failures += 1,
     }
     let Some(upstream) = call.upstream.clone() else {
         return;
     };
     let verdict = check_retry(call, &failure, tick.now_us);
     if !failure.is_not_run() {
-        let run = call.run_ended(failure.answer_tokens(), charge_outcome(&failure));
+        let run = call.to_last_run(failure.answer_tokens(), charge_outcome(&failure));
         call.last_run = run.map(Box::new);
         pin_to_upstream(call, &upstream);
     }
@@ -130,7 +130,7 @@
         (false, true) => RetryReason::Idempotent,
         (false, false) => return Err(RetryReason::NotIdempotent),
     };
-    if call.attempts >= MAX_ATTEMPTS || call.place.failures >= MAX_FAILURES {
+    if call.attempts >= MAX_ATTEMPTS || call.placement.failures >= MAX_FAILURES {
         return Err(RetryReason::TooManyAttempts);
     }
     Ok(reason)
@@ -151,7 +151,7 @@
 /// Returns whether a retry after a failure uses the retry budget.
 fn needs_budget(call: &Call, failure: &Failure) -> bool {
     match failure {
-        Failure::ConnectionLost { .. } => call.place.losses > MAX_UNBUDGETED_LOSSES,
+        Failure::ConnectionLost { .. } => call.placement.lost_connections > MAX_UNBUDGETED_LOSSES,
         // The backoff after a refused connection limits these retries.
         Failure::NotSent => false,
         // For relayed calls, the backoff of a full upstream limits these retries.
@@ -184,7 +184,7 @@
     let call = tick.tables.calls.get(&attempt.call);
     call.map(|call| call.pool.clone())
         .and_then(|pool| tick.tables.pools.get_mut(&pool))
-        .is_some_and(|pool| pool.retries.take(now_us, percent))
+        .is_some_and(|pool| pool.retry_budget.try_take(now_us, percent))
 }
 
 /// Ends a call that is not retried, with the refusal kind of its last failure.
--- a/crates/core/src/systems/outcomes/suspects.rs
+++ b/crates/core/src/systems/outcomes/suspects.rs
@@ -14,32 +14,36 @@
 use crate::input::ProbeState;
 use crate::message::PlacementMessage;
 use crate::output::{CrashEvidence, Decision, Output};
-use crate::tables::{LostAttempt, Running, Suspect, Timer};
+use crate::tables::{LostAttempt, RunningAttempt, Suspect, Timer};
 
 /// Time after which an unanswered probe counts as a crash.
 const PROBE_TIMEOUT_US: u64 = 1_000_000;
 
 /// Records a lost connection and probes the upstream, unless it is being examined already.
-pub(crate) fn record_lost_connection(tick: &mut Tick<'_>, attempt: AttemptId, running: &Running) {
-    if running.is_counted {
+pub(crate) fn record_lost_connection(
+    tick: &mut Tick<'_>,
+    attempt: AttemptId,
+    running: &RunningAttempt,
+) {
+    if running.is_counted_in_crash {
         return;
     }
     let now_us = tick.now_us;
     let Some(row) = tick.tables.upstreams.get_mut(&running.upstream) else {
         return;
     };
-    let is_first = row.health.lost.is_empty();
-    row.health.lost.push(LostAttempt {
+    let is_first = row.health.lost_attempts.is_empty();
+    row.health.lost_attempts.push(LostAttempt {
         call: attempt.call,
         vm: running.vm.clone(),
         digest: running.digest,
-        alone: running.alone,
+        is_exclusive: running.is_exclusive,
     });
-    touch_suspect(tick, running.digest).examined += 1;
+    touch_suspect(tick, running.digest).pending_examinations += 1;
     if is_first {
         let probe = Output::Probe(running.upstream.clone());
         tick.outputs.push(probe);
-        let timer = Timer::CrashVerdict(running.upstream.clone());
+        let timer = Timer::CrashDecision(running.upstream.clone());
         tick.tables.timers.set(now_us + PROBE_TIMEOUT_US, timer);
     }
     placement::refresh_availability(tick, &running.upstream);
@@ -51,7 +55,7 @@
         .tables
         .upstreams
         .get(upstream)
-        .map_or(0, |row| row.health.lost.len());
+        .map_or(0, |row| row.health.lost_attempts.len());
     match state {
         ProbeState::Down => conclude_crash(tick, upstream, CrashEvidence::Refused),
         ProbeState::Restarted => conclude_crash(tick, upstream, CrashEvidence::Restarted),
@@ -103,7 +107,10 @@
         .map(|lost| (lost.call, lost.vm.clone(), lost.digest))
         .collect();
     suspects.extend(mark_running_counted(tick, upstream));
-    let alone = lost.iter().find(|lost| lost.alone).map(|lost| lost.digest);
+    let alone = lost
+        .iter()
+        .find(|lost| lost.is_exclusive)
+        .map(|lost| lost.digest);
     let digests: BTreeSet<ContentDigest> = suspects.iter().map(|(.., digest)| *digest).collect();
     tick.decide(Decision::Crashed {
         upstream: upstream.clone(),
@@ -126,7 +133,7 @@
         quarantine::quarantine_on_all_vms(tick, digest);
     }
     if let Some(row) = tick.tables.upstreams.get_mut(upstream) {
-        row.health.cache_from_us = tick.now_us + 1;
+        row.health.cache_valid_from_us = tick.now_us + 1;
         row.prefill_until_us = 0;
     }
     ejection::back_off(tick, upstream);
@@ -138,10 +145,10 @@
     let Some(row) = tick.tables.upstreams.get_mut(upstream) else {
         return Vec::new();
     };
-    let lost: Vec<LostAttempt> = std::mem::take(&mut row.health.lost).into_vec();
+    let lost: Vec<LostAttempt> = std::mem::take(&mut row.health.lost_attempts).into_vec();
     for attempt in &lost {
         if let Some(suspect) = tick.tables.suspects.get_mut(&attempt.digest) {
-            suspect.examined = suspect.examined.saturating_sub(1);
+            suspect.pending_examinations = suspect.pending_examinations.saturating_sub(1);
         }
     }
     lost
@@ -157,7 +164,7 @@
     let mut counted = Vec::new();
     for attempt in attempts {
         if let Some(running) = tick.tables.running.get_mut(&attempt) {
-            running.is_counted = true;
+            running.is_counted_in_crash = true;
             counted.push((attempt.call, running.vm.clone(), running.digest));
         }
     }
@@ -209,7 +216,7 @@
         .tables
         .suspects
         .get_or_insert_with(&digest, Suspect::default);
-    row.seen_us = now_us;
+    row.last_seen_us = now_us;
     row
 }
 
@@ -242,7 +249,7 @@
 /// Removes the row of a content with no crashes and no pending examinations.
 fn remove_if_cleared(tick: &mut Tick<'_>, digest: &ContentDigest) {
     let suspect = tick.tables.suspects.get(digest);
-    if suspect.is_some_and(|row| row.crashes == 0 && row.examined == 0) {
+    if suspect.is_some_and(|row| row.crashes == 0 && row.pending_examinations == 0) {
         tick.tables.suspects.remove(digest);
     }
 }
@@ -252,7 +259,7 @@
     let Some(suspect) = tick.tables.suspects.get(&digest) else {
         return;
     };
-    let due_us = suspect.seen_us + retention_us(tick);
+    let due_us = suspect.last_seen_us + retention_us(tick);
     if due_us <= tick.now_us && suspect.running == 0 {
         tick.tables.suspects.remove(&digest);
     } else {
--- a/crates/core/src/systems/peers/group.rs
+++ b/crates/core/src/systems/peers/group.rs
@@ -17,11 +17,11 @@
     let mut silenced: Vec<VmName> = Vec::new();
     let mut forgotten: Vec<VmName> = Vec::new();
     for (vm, peer) in tick.tables.peering.peers.iter() {
-        let silence_us = now_us.saturating_sub(peer.last_us());
+        let silence_us = now_us.saturating_sub(peer.last_contact_us());
         if silence_us > forget_us {
             forgotten.push(vm.clone());
         }
-        if peer.is_heard && silence_us > silent_us {
+        if peer.is_reachable && silence_us > silent_us {
             silenced.push(vm.clone());
         }
     }
@@ -41,8 +41,8 @@
     let Some(peer) = tick.tables.peering.peers.get_mut(vm) else {
         return;
     };
-    peer.is_heard = false;
-    let silent_ms = now_us.saturating_sub(peer.last_us()) / 1_000;
+    peer.is_reachable = false;
+    let silent_ms = now_us.saturating_sub(peer.last_contact_us()) / 1_000;
     tick.decide(Decision::PeerSilent {
         vm: vm.clone(),
         silent_ms,
@@ -79,18 +79,18 @@
 pub(super) fn count(tick: &mut Tick<'_>) {
     let me = &tick.settings.vm;
     let peering = &mut tick.tables.peering;
-    let before = peering.part();
+    let before = peering.usable_fraction();
     let peers = || peering.peers.iter();
     // A VM that announced its departure and then became silent has ended.
-    let known = peers().filter(|(_, peer)| peer.is_heard || !peer.is_leaving);
+    let known = peers().filter(|(_, peer)| peer.is_reachable || !peer.is_leaving);
     let known_vms = 1 + known.count() as u64;
-    let heard_vms = 1 + peers().filter(|(_, peer)| peer.is_heard).count() as u64;
-    let is_before = |vm: &VmName, peer: &Peer| peer.is_heard && !peer.is_leaving && vm < me;
+    let heard_vms = 1 + peers().filter(|(_, peer)| peer.is_reachable).count() as u64;
+    let is_before = |vm: &VmName, peer: &Peer| peer.is_reachable && !peer.is_leaving && vm < me;
     let rank = peers().filter(|(vm, peer)| is_before(vm, peer)).count() as u64;
-    (peering.known_vms, peering.heard_vms, peering.rank) = (known_vms, heard_vms, rank);
-    if peering.part() != before {
+    (peering.known_vms, peering.reachable_vms, peering.rank) = (known_vms, heard_vms, rank);
+    if peering.usable_fraction() != before {
         rates::rescale_buckets(tick);
-        let (heard_vms, known_vms) = tick.tables.peering.part();
+        let (heard_vms, known_vms) = tick.tables.peering.usable_fraction();
         tick.decide(Decision::GroupChanged {
             heard_vms,
             known_vms,
--- a/crates/core/src/systems/peers/mod.rs
+++ b/crates/core/src/systems/peers/mod.rs
@@ -77,7 +77,7 @@
 /// Requests a snapshot from another VM, unless one was requested recently.
 fn ask_snapshot(tick: &mut Tick<'_>, address: Arc<str>, with_programs: bool) {
     let now_us = tick.now_us;
-    let asked = &mut tick.tables.peering.asked_snapshot_us;
+    let asked = &mut tick.tables.peering.snapshot_requested_us;
     if asked.is_some_and(|asked_us| now_us < asked_us + ASK_AGAIN_US) {
         return;
     }
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -6,14 +6,14 @@
 use crate::input::{PeerNews, RegisteredVm};
 use crate::message::{Snapshot, Summary};
 use crate::output::Decision;
-use crate::tables::{Knowledge, NCALLS_PER_CALL, Peer};
+use crate::tables::{NCALLS_PER_CALL, Peer, ProgramKnowledge};
 
 /// Dispatches input from another VM.
 pub(super) fn handle(tick: &mut Tick<'_>, news: PeerNews) {
     match news {
         PeerNews::Summary(summary) => learn(tick, *summary),
         PeerNews::Snapshot { asked_us, snapshot } => adopt(tick, asked_us, *snapshot),
-        PeerNews::NoSnapshot => tick.tables.peering.asked_snapshot_us = None,
+        PeerNews::NoSnapshot => tick.tables.peering.snapshot_requested_us = None,
     }
 }
 
@@ -89,14 +89,14 @@
         peer.address = summary.address.as_str().into();
     }
     peer.round = summary.round;
-    peer.heard_us = Some(now_us);
+    peer.last_heard_us = Some(now_us);
     peer.is_leaving = summary.is_leaving;
     peer.revision = summary.revision;
     peer.list = summary.list;
     if let Some(echo) = summary.echo.filter(|echo| echo.incarnation == me) {
         peer.acked_round = peer.acked_round.max(echo.round);
     }
-    let was_heard = std::mem::replace(&mut peer.is_heard, true);
+    let was_heard = std::mem::replace(&mut peer.is_reachable, true);
     if !was_heard || is_restarted {
         tick.decide(Decision::PeerHeard {
             vm: summary.from.clone(),
@@ -160,7 +160,7 @@
     let Some(peer) = tables.peering.peers.get(vm) else {
         return;
     };
-    let is_pending = tables.source.knowledge == Knowledge::Pending;
+    let is_pending = tables.source.knowledge == ProgramKnowledge::Pending;
     let lacks_programs = knows_programs && is_pending;
     let is_newer = peer.revision > tables.fleet.revision
         || (peer.list.revision > tables.source.stamp.revision
@@ -174,7 +174,7 @@
 
 /// Applies the parts of a snapshot that are newer than this VM's state.
 fn adopt(tick: &mut Tick<'_>, asked_us: u64, snapshot: Snapshot) {
-    tick.tables.peering.asked_snapshot_us = None;
+    tick.tables.peering.snapshot_requested_us = None;
     // The sender answered after `asked_us`, so its ages were measured at that time or later.
     let read_us = |age_us: Option<u64>| age_us.and_then(|age_us| asked_us.checked_sub(age_us));
     if let Some(fleet) = snapshot.fleet {
@@ -195,7 +195,7 @@
     let list_us = read_us(snapshot.list_age_us);
     config::adopt_list(tick, snapshot.list, list_us);
     if let Some(losses) = snapshot.losses
-        && tick.tables.source.knowledge == Knowledge::Pending
+        && tick.tables.source.knowledge == ProgramKnowledge::Pending
     {
         for program in &snapshot.programs {
             budgets::merge_snapshot(tick, program);
--- a/crates/core/src/systems/peers/sending.rs
+++ b/crates/core/src/systems/peers/sending.rs
@@ -8,7 +8,7 @@
 use crate::input::UpstreamList;
 use crate::message::{Echo, ProgramSpent, ProgramUse, Snapshot, Summary};
 use crate::output::Output;
-use crate::tables::{Knowledge, Peer, Tables};
+use crate::tables::{Peer, ProgramKnowledge, Tables};
 
 /// Maximum rows of one kind in a summary, so that it fits into a datagram.
 const MAX_ROWS: usize = 48;
@@ -29,7 +29,10 @@
     let mut known: Vec<&str> = Vec::new();
     for (vm, peer) in tables.peering.peers.iter() {
         known.push(&peer.address);
-        if !peer.is_heard && !round.is_multiple_of(SILENT_ROUNDS) && peer.heard_us.is_some() {
+        if !peer.is_reachable
+            && !round.is_multiple_of(SILENT_ROUNDS)
+            && peer.last_heard_us.is_some()
+        {
             continue;
         }
         let summary = for_peer(tick.settings, tables, &common, (vm, peer));
@@ -61,7 +64,7 @@
         round: tables.peering.round,
         echo: None,
         is_leaving: tables.membership.departure.is_draining,
-        knows_programs: tables.source.knowledge != Knowledge::Pending,
+        knows_programs: tables.source.knowledge != ProgramKnowledge::Pending,
         knows_keepers: !tables.source.keepers.is_empty(),
         revision: tables.fleet.revision,
         config_age_us: tables.source.config.age_us(now_us),
--- a/crates/core/src/systems/placement/availability.rs
+++ b/crates/core/src/systems/placement/availability.rs
@@ -3,7 +3,7 @@
 use super::super::Tick;
 use super::{owner, queue_order};
 use crate::ids::{ContentDigest, PoolKey, UpstreamName};
-use crate::tables::Waiting;
+use crate::tables::QueuedCall;
 
 /// Updates an upstream in the sets of available upstreams of its pools from its current load.
 pub(crate) fn refresh_availability(tick: &mut Tick<'_>, upstream: &UpstreamName) {
@@ -17,21 +17,21 @@
     let listed = row
         .has_room(tick.now_us, is_learned)
         .then_some(load_permille);
-    if listed == row.listed {
+    if listed == row.open_load_permille {
         return;
     }
     for pool in &row.pools {
         let Some(pool) = tables.pools.get_mut(pool) else {
             continue;
         };
-        if let Some(load) = row.listed {
-            pool.open.remove(&(load, upstream.clone()));
+        if let Some(load) = row.open_load_permille {
+            pool.available.remove(&(load, upstream.clone()));
         }
         if let Some(load) = listed {
-            pool.open.insert((load, upstream.clone()));
+            pool.available.insert((load, upstream.clone()));
         }
     }
-    row.listed = listed;
+    row.open_load_permille = listed;
 }
 
 /// Updates the availability of an upstream and assigns waiting calls of its pools.
@@ -54,7 +54,7 @@
 }
 
 /// Adds a call to the ordered queue of its pool.
-pub(super) fn push(tick: &mut Tick<'_>, waiting: Waiting) {
+pub(super) fn push(tick: &mut Tick<'_>, waiting: QueuedCall) {
     let lane = queue_order::lane_of(tick, &waiting.place.account);
     let rank = queue_order::compute_rank(tick, &waiting.place, waiting.arrived_us);
     let pool = waiting.place.pool.clone();
--- a/crates/core/src/systems/placement/entry.rs
+++ b/crates/core/src/systems/placement/entry.rs
@@ -44,18 +44,18 @@
     call.attempts += 1;
     call.sent = false;
     call.upstream = None;
-    call.place.unanswered = 0;
-    call.place.first_token_us = 0;
+    call.placement.unanswered = 0;
+    call.placement.first_token_us = 0;
     let due_us = now_us + tick.settings.queue_ms * 1_000;
     let deadline_us = call.relay.as_ref().map(|relay| relay.deadline_us);
     let due_us = deadline_us.map_or(due_us, |deadline_us| due_us.min(deadline_us));
-    call.place.queue_until_us = due_us;
+    call.placement.queue_until_us = due_us;
     let attempt = call.attempt();
     let pool = call.pool.clone();
     if call.attempts == 1
         && let Some(row) = tick.tables.pools.get_mut(&pool)
     {
-        row.retries.count_call(now_us);
+        row.retry_budget.count_call(now_us);
     }
     tick.tables.timers.set(due_us, Timer::QueueWait(attempt));
     send_place(tick, id);
@@ -85,7 +85,7 @@
 
 /// Builds the placement request of a call's current attempt.
 fn build_place(call: &Call) -> Place {
-    let turn = call.new.program.as_ref();
+    let turn = call.request.program.as_ref();
     let continuation = turn.and_then(|turn| turn.continuation.as_ref());
     Place {
         pool: call.pool.clone(),
@@ -93,14 +93,14 @@
         account: call.account.clone(),
         // Only engines cache the prompts of programs.
         program: call
-            .any_program()
+            .program_key()
             .filter(|_| call.relay.is_none() || call.pool.model.is_some())
             .cloned(),
         spent_tokens: continuation.map_or(0, |continuation| continuation.spent_tokens),
-        prompt_tokens: call.new.prompt_tokens,
-        max_tokens: call.new.max_tokens,
-        digest: call.new.digest,
-        crashes: call.place.crashes,
+        prompt_tokens: call.request.prompt_tokens,
+        max_tokens: call.request.max_tokens,
+        digest: call.request.digest,
+        crashes: call.placement.crashes,
         avoid: call.avoid.clone(),
         ended: None,
         priority: call.relay.as_ref().map(|relay| relay.priority),
@@ -112,7 +112,7 @@
 fn schedule_answer_check(tick: &mut Tick<'_>, attempt: AttemptId, timeouts: u64) {
     let due_us = tick.now_us + timeouts * tick.settings.placement_timeout_ms * 1_000;
     if let Some(call) = tick.tables.calls.get_mut(&attempt.call) {
-        call.place.check_us = due_us;
+        call.placement.check_us = due_us;
     }
     tick.tables.timers.set(due_us, Timer::PlaceWait(attempt));
 }
@@ -123,7 +123,7 @@
         return;
     }
     if let Some(call) = tick.tables.calls.get_mut(&attempt.call) {
-        call.place.unanswered = 0;
+        call.placement.unanswered = 0;
     }
     schedule_answer_check(tick, attempt, CONFIRM_TIMEOUTS);
 }
@@ -137,13 +137,13 @@
     let Some(call) = tick.tables.calls.get_mut(&attempt.call) else {
         return;
     };
-    if now_us < call.place.check_us {
+    if now_us < call.placement.check_us {
         return;
     }
-    call.place.unanswered += 1;
+    call.placement.unanswered += 1;
     // Only an owner knows how many copies of a suspect content run, so these calls wait for one.
-    let is_suspect = call.place.crashes > 0;
-    if call.place.unanswered >= MAX_UNANSWERED_REQUESTS
+    let is_suspect = call.placement.crashes > 0;
+    if call.placement.unanswered >= MAX_UNANSWERED_REQUESTS
         && !is_suspect
         && place_locally(tick, attempt)
     {
@@ -206,8 +206,8 @@
         upstream,
         account: call.account.clone(),
         program: call.program.clone(),
-        digest: call.new.digest,
-        crashes: call.place.crashes,
+        digest: call.request.digest,
+        crashes: call.placement.crashes,
     }
 }
 
@@ -226,7 +226,7 @@
 ) {
     if is_waiting(tick, attempt) {
         let call = tick.tables.calls.get(&attempt.call);
-        let digest = call.map(|call| call.new.digest).unwrap_or_default();
+        let digest = call.map(|call| call.request.digest).unwrap_or_default();
         if tick.tables.quarantine.contains_key(&digest) {
             release_unused(tick, pool, attempt, assignment.0);
             handle_unplaced(tick, attempt, RefusalKind::Quarantined);
@@ -306,7 +306,7 @@
     let stream_deadline_us = relay.map_or(u64::MAX, |relay| relay.stream_deadline_us);
     call.stage = Stage::Running;
     call.upstream = Some(upstream.clone());
-    call.place.dispatched_us = tick.now_us;
+    call.placement.dispatched_us = tick.now_us;
     let dispatch = Dispatch {
         attempt,
         upstream: upstream.clone(),
@@ -322,7 +322,7 @@
     };
     let decision = Decision::Placed {
         attempt,
-        program: call.any_program().cloned(),
+        program: call.program_key().cloned(),
         account: call.account.clone(),
         upstream,
         reason,
@@ -389,7 +389,7 @@
 fn cancel_wait_timers(tick: &mut Tick<'_>, attempt: AttemptId) {
     let tables = &mut *tick.tables;
     if let Some(call) = tables.calls.get(&attempt.call) {
-        let waits = (call.place.queue_until_us, call.place.check_us);
+        let waits = (call.placement.queue_until_us, call.placement.check_us);
         tables.timers.cancel(waits.0, Timer::QueueWait(attempt));
         tables.timers.cancel(waits.1, Timer::PlaceWait(attempt));
     }
--- a/crates/core/src/systems/placement/exclusive.rs
+++ b/crates/core/src/systems/placement/exclusive.rs
@@ -10,7 +10,7 @@
 use super::{availability, owner};
 use crate::ids::{PoolKey, UpstreamName};
 use crate::output::{PlacementReason, RefusalKind};
-use crate::tables::Waiting;
+use crate::tables::QueuedCall;
 
 /// Places exclusive calls while reserved upstreams are idle.
 pub(super) fn assign(tick: &mut Tick<'_>, pool: &PoolKey) {
@@ -23,7 +23,7 @@
 ///
 /// Reserves another upstream if needed. Calls in front that are quarantined
 /// are refused; those that must be held or are no longer suspect are moved.
-fn take_ready(tick: &mut Tick<'_>, pool: &PoolKey) -> Option<Waiting> {
+fn take_ready(tick: &mut Tick<'_>, pool: &PoolKey) -> Option<QueuedCall> {
     let row = tick.tables.pools.get(pool)?;
     let waiting = row.alone.front()?;
     let digest = waiting.place.digest;
@@ -34,13 +34,13 @@
     }
     let suspect = tick.tables.suspects.get(&digest).copied();
     let suspect = suspect.unwrap_or_default();
-    if !suspect.runs_alone() {
+    if !suspect.must_run_exclusively() {
         // The content completed elsewhere and is no longer suspect.
         let waiting = tick.tables.pools.get_mut(pool)?.alone.pop_front()?;
         availability::push(tick, waiting);
         return take_ready(tick, pool);
     }
-    if suspect.running > 0 || suspect.examined > 0 {
+    if suspect.running > 0 || suspect.pending_examinations > 0 {
         let row = tick.tables.pools.get_mut(pool)?;
         let waiting = row.alone.pop_front()?;
         row.held.entry(digest).or_default().push_back(waiting);
@@ -76,12 +76,12 @@
     if row.reserved.len() >= allowed {
         return;
     }
-    let Some((_, name)) = row.open.first().cloned() else {
+    let Some((_, name)) = row.available.first().cloned() else {
         return;
     };
     row.reserved.insert(name.clone());
     if let Some(upstream) = tick.tables.upstreams.get_mut(&name) {
-        upstream.is_alone = true;
+        upstream.has_exclusive_call = true;
     }
     availability::refresh_availability(tick, &name);
 }
@@ -101,7 +101,7 @@
 }
 
 /// Places a call alone on an idle reserved upstream.
-fn start_exclusive(tick: &mut Tick<'_>, pool: &PoolKey, waiting: Waiting) {
+fn start_exclusive(tick: &mut Tick<'_>, pool: &PoolKey, waiting: QueuedCall) {
     let Some(upstream) = find_idle_reserved(tick, pool) else {
         return;
     };
@@ -130,7 +130,7 @@
             attempts
                 .iter()
                 .filter_map(|attempt| tick.tables.running.get(attempt))
-                .any(|running| running.alone)
+                .any(|running| running.is_exclusive)
         })
     };
     let freed: SmallVec<[UpstreamName; 2]> = row
@@ -144,7 +144,7 @@
             row.reserved.remove(&name);
         }
         if let Some(upstream) = tick.tables.upstreams.get_mut(&name) {
-            upstream.is_alone = false;
+            upstream.has_exclusive_call = false;
         }
         availability::refresh_availability(tick, &name);
     }
--- a/crates/core/src/systems/placement/hints.rs
+++ b/crates/core/src/systems/placement/hints.rs
@@ -4,7 +4,7 @@
 use crate::config::Coordination;
 use crate::ids::{ProgramKey, UpstreamName};
 use crate::message::{Finish, Place};
-use crate::tables::{Footprint, Hint, Running, Timer};
+use crate::tables::{CacheHint, PlacementHistory, RunningAttempt, Timer};
 
 /// Shortest expected prefix that counts as a sample of hint accuracy; shorter ones say little.
 const MIN_ACCURACY_SAMPLE_TOKENS: u64 = 500;
@@ -26,34 +26,35 @@
     let footprint = place
         .program
         .as_ref()
-        .and_then(|program| tick.tables.footprints.get(program));
+        .and_then(|program| tick.tables.placement_histories.get(program));
     let hints = footprint.map_or(&[][..], |footprint| &footprint.hints);
     hints.iter().filter_map(|hint| {
         let row = tick.tables.upstreams.get(&hint.upstream)?;
         // A hint may belong to another pool: tool calls of a program use other upstreams.
         let is_in_pool = row.pools.contains(&place.pool);
-        if !is_in_pool || hint.at_us < row.health.cache_from_us {
+        if !is_in_pool || hint.ended_us < row.health.cache_valid_from_us {
             return None;
         }
         let half_life_us = tick.settings.cache_half_life_ms * 1_000;
-        let tokens = hint.expected_tokens(tick.now_us, half_life_us, row.hint_trust_percent);
+        let tokens =
+            hint.expected_cached_tokens(tick.now_us, half_life_us, row.hint_accuracy_percent);
         Some((&hint.upstream, tokens.min(place.prompt_tokens)))
     })
 }
 
 /// Records a complete attempt in the footprint of its program.
-pub(super) fn record_completion(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+pub(super) fn record_completion(tick: &mut Tick<'_>, running: &RunningAttempt, finish: &Finish) {
     let Some(program) = &running.program else {
         return;
     };
     let now_us = tick.now_us;
     let used_tokens = finish.prompt_tokens + finish.answer_tokens;
-    let hint = Hint {
+    let hint = CacheHint {
         upstream: finish.upstream.clone(),
         tokens: used_tokens,
-        at_us: now_us,
+        ended_us: now_us,
     };
-    touch(tick, program).note(hint);
+    touch(tick, program).record_hint(hint);
     let root = root_of(program);
     touch(tick, &root).attained_tokens += used_tokens;
     update_hint_accuracy(tick, running, finish);
@@ -67,12 +68,12 @@
     tokens: u64,
 ) {
     let now_us = tick.now_us;
-    let hint = Hint {
+    let hint = CacheHint {
         upstream: upstream.clone(),
         tokens,
-        at_us: now_us,
+        ended_us: now_us,
     };
-    touch(tick, program).note(hint);
+    touch(tick, program).record_hint(hint);
 }
 
 /// Raises a program's attained tokens to those used before this VM tracked it.
@@ -86,7 +87,7 @@
 }
 
 /// Updates the hint accuracy of an upstream from the tokens that it found in its cache.
-fn update_hint_accuracy(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+fn update_hint_accuracy(tick: &mut Tick<'_>, running: &RunningAttempt, finish: &Finish) {
     // Upstreams of relayed calls do not report cached tokens.
     let is_reported = tick.settings.coordination == Coordination::Owners;
     if running.expected_cached_tokens < MIN_ACCURACY_SAMPLE_TOKENS || !is_reported {
@@ -96,37 +97,37 @@
         return;
     };
     let found_percent = finish.cached_tokens * 100 / running.expected_cached_tokens;
-    row.hint_trust_percent = (row.hint_trust_percent * 15 + found_percent.min(100)) / 16;
+    row.hint_accuracy_percent = (row.hint_accuracy_percent * 15 + found_percent.min(100)) / 16;
     // Without a lower bound, an upstream without hits would never be tried again.
-    row.hint_trust_percent = row.hint_trust_percent.max(20);
+    row.hint_accuracy_percent = row.hint_accuracy_percent.max(20);
 }
 
 /// Returns the footprint of a program and restarts its idle time.
-fn touch<'a>(tick: &'a mut Tick<'_>, program: &ProgramKey) -> &'a mut Footprint {
+fn touch<'a>(tick: &'a mut Tick<'_>, program: &ProgramKey) -> &'a mut PlacementHistory {
     let now_us = tick.now_us;
-    if !tick.tables.footprints.contains_key(program) {
+    if !tick.tables.placement_histories.contains_key(program) {
         let due_us = now_us + tick.settings.program_lease_ms * 1_000;
-        let timer = Timer::FootprintIdle(program.clone());
+        let timer = Timer::PlacementHistoryIdle(program.clone());
         tick.tables.timers.set(due_us, timer);
     }
     let row = tick
         .tables
-        .footprints
-        .get_or_insert_with(program, Footprint::default);
-    row.used_us = now_us;
+        .placement_histories
+        .get_or_insert_with(program, PlacementHistory::default);
+    row.last_used_us = now_us;
     row
 }
 
 /// Removes the footprint of a program that has had no calls for a program lease.
 pub(super) fn expire_history(tick: &mut Tick<'_>, program: ProgramKey) {
-    let Some(row) = tick.tables.footprints.get(&program) else {
+    let Some(row) = tick.tables.placement_histories.get(&program) else {
         return;
     };
-    let due_us = row.used_us + tick.settings.program_lease_ms * 1_000;
+    let due_us = row.last_used_us + tick.settings.program_lease_ms * 1_000;
     if due_us <= tick.now_us {
-        tick.tables.footprints.remove(&program);
+        tick.tables.placement_histories.remove(&program);
     } else {
-        let timer = Timer::FootprintIdle(program);
+        let timer = Timer::PlacementHistoryIdle(program);
         tick.tables.timers.set(due_us, timer);
     }
 }
--- a/crates/core/src/systems/placement/limits.rs
+++ b/crates/core/src/systems/placement/limits.rs
@@ -5,7 +5,7 @@
 use crate::ids::UpstreamName;
 use crate::message::Finish;
 use crate::output::Decision;
-use crate::tables::{LimitReason, Running};
+use crate::tables::{LimitReason, RunningAttempt};
 
 /// Shortest prefill that counts as a speed sample; shorter ones mostly measure the network.
 const MIN_PREFILL_SAMPLE_TOKENS: u64 = 500;
@@ -28,19 +28,19 @@
     row.foreign_calls = running_calls.saturating_sub(own_calls);
     row.peak_calls = [row.attempts.len() as u32, row.peak_calls[0]];
     let from_calls = row.limit.calls;
-    let reason = row.limit.report(now_us, running_calls, tokens_per_s);
+    let reason = row.limit.record_load(now_us, running_calls, tokens_per_s);
     log_change(tick, upstream, from_calls, reason);
     availability::refresh_and_assign(tick, upstream);
 }
 
 /// Updates an upstream's speed and limit from a complete attempt.
-pub(super) fn record_completion(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+pub(super) fn record_completion(tick: &mut Tick<'_>, running: &RunningAttempt, finish: &Finish) {
     let now_us = tick.now_us;
     let target_us = tick.settings.token_gap_target_ms * 1_000;
     let Some(row) = tick.tables.upstreams.get_mut(&finish.upstream) else {
         return;
     };
-    row.hold_us = (row.hold_us * 15 + finish.total_us) / 16;
+    row.mean_call_us = (row.mean_call_us * 15 + finish.total_us) / 16;
     let read_tokens = finish.prompt_tokens.saturating_sub(finish.cached_tokens);
     if read_tokens >= MIN_PREFILL_SAMPLE_TOKENS && finish.first_token_us > 0 {
         let read_us = finish
@@ -60,7 +60,7 @@
     let decode_us = finish.total_us.saturating_sub(finish.first_token_us);
     let token_us = decode_us / finish.answer_tokens;
     let from_calls = row.limit.calls;
-    let reason = row.limit.finished(now_us, token_us, target_us);
+    let reason = row.limit.record_token_time(now_us, token_us, target_us);
     log_change(tick, &finish.upstream, from_calls, reason);
 }
 
--- a/crates/core/src/systems/placement/mod.rs
+++ b/crates/core/src/systems/placement/mod.rs
@@ -50,7 +50,7 @@
     if work.config_changed {
         reconfigure::apply_config(tick);
     }
-    if tick.tables.placed_epoch != tick.tables.view.epoch {
+    if tick.tables.placement_epoch != tick.tables.view.epoch {
         reconfigure::apply_view(tick);
     }
     for (upstream, running_calls, tokens_per_s) in work.load_reports {
@@ -76,7 +76,7 @@
         Timer::QueueAge(pool, attempt) => owner::requeue_aged(tick, &pool, attempt),
         Timer::RunningCheck(attempt) => owner::check_running(tick, attempt),
         Timer::UpstreamReady(upstream) => refresh_and_assign(tick, &upstream),
-        Timer::FootprintIdle(program) => hints::expire_history(tick, program),
+        Timer::PlacementHistoryIdle(program) => hints::expire_history(tick, program),
         _ => {}
     }
 }
@@ -112,7 +112,7 @@
         }
         PlacementMessage::Suspected { call, crashes } => {
             if let Some(row) = tick.tables.calls.get_mut(&call) {
-                row.place.crashes = row.place.crashes.max(crashes);
+                row.placement.crashes = row.placement.crashes.max(crashes);
             }
         }
         PlacementMessage::Quarantine { digest, for_ms } => {
--- a/crates/core/src/systems/placement/owner.rs
+++ b/crates/core/src/systems/placement/owner.rs
@@ -9,7 +9,7 @@
 use crate::ids::{AttemptId, PoolKey};
 use crate::message::{AttemptResult, Finish, Place, PlacementMessage};
 use crate::output::{PlacementReason, RefusalKind};
-use crate::tables::{Running, Suspect, Timer, Waiting};
+use crate::tables::{QueuedCall, RunningAttempt, Suspect, Timer};
 
 /// Interval at which entry VMs are asked whether their attempts still run.
 const RUNNING_CHECK_INTERVAL_US: u64 = 5_000_000;
@@ -32,10 +32,10 @@
         return;
     };
     let is_remote = sender.vm != tick.settings.vm;
-    if !row.waits(&attempt) {
+    if !row.is_waiting(&attempt) {
         outcomes::raise_crash_count(tick, place.digest, place.crashes);
         hints::raise_attained_tokens(tick, &place);
-        let waiting = Waiting {
+        let waiting = QueuedCall {
             vm: sender.vm.clone(),
             place,
             arrived_us: tick.now_us,
@@ -44,7 +44,7 @@
         assign(tick, &pool);
         schedule_aging(tick, &pool, attempt);
     }
-    let waits = |row: &crate::tables::Pool| row.waits(&attempt);
+    let waits = |row: &crate::tables::Pool| row.is_waiting(&attempt);
     if is_remote && tick.tables.pools.get(&pool).is_some_and(waits) {
         tick.send(&sender.vm, PlacementMessage::Queued { attempt });
     }
@@ -113,7 +113,7 @@
     let Some(row) = tick.tables.pools.get(pool) else {
         return false;
     };
-    if row.open.is_empty() || row.queue.is_empty() {
+    if row.available.is_empty() || row.queue.is_empty() {
         return false;
     }
     for attempt in row.queue.candidates(queue_order::lane_order(tick)) {
@@ -156,8 +156,8 @@
     let is_quarantined = tick.tables.quarantine.contains_key(&digest);
     let suspect = tick.tables.suspects.get(&digest).copied();
     let suspect = suspect.unwrap_or_default();
-    let is_held = suspect.examined > 0 || (suspect.crashes > 0 && suspect.running > 0);
-    if !is_quarantined && !is_held && !suspect.runs_alone() {
+    let is_held = suspect.pending_examinations > 0 || (suspect.crashes > 0 && suspect.running > 0);
+    if !is_quarantined && !is_held && !suspect.must_run_exclusively() {
         return false;
     }
     let Some(waiting) = row.queue.remove(attempt) else {
@@ -175,7 +175,7 @@
 }
 
 /// Tells the entry VM of a call that it will not be placed.
-pub(super) fn refuse(tick: &mut Tick<'_>, waiting: Waiting, kind: RefusalKind) {
+pub(super) fn refuse(tick: &mut Tick<'_>, waiting: QueuedCall, kind: RefusalKind) {
     let unplaced = PlacementMessage::Unplaced {
         attempt: waiting.place.attempt,
         kind,
@@ -184,7 +184,12 @@
 }
 
 /// Records a call as running on an upstream and sends the assignment to its entry VM.
-pub(super) fn place(tick: &mut Tick<'_>, waiting: Waiting, chosen: SelectedUpstream, alone: bool) {
+pub(super) fn place(
+    tick: &mut Tick<'_>,
+    waiting: QueuedCall,
+    chosen: SelectedUpstream,
+    alone: bool,
+) {
     let now_us = tick.now_us;
     let place = waiting.place;
     let attempt = place.attempt;
@@ -192,7 +197,7 @@
     let mut prefill_wait_us = 0;
     if let Some(row) = tick.tables.upstreams.get_mut(&chosen.upstream) {
         row.attempts.insert(attempt);
-        row.is_alone |= alone;
+        row.has_exclusive_call |= alone;
         row.peak_calls[0] = row.peak_calls[0].max(row.attempts.len() as u32);
         let read_tokens = place.prompt_tokens.saturating_sub(chosen.cached_tokens);
         let from_us = row.prefill_until_us.max(now_us);
@@ -202,19 +207,19 @@
     if let Some(suspect) = tick.tables.suspects.get_mut(&place.digest) {
         suspect.running += 1;
     }
-    let running = Running {
+    let running = RunningAttempt {
         upstream: chosen.upstream.clone(),
         pool: place.pool.clone(),
         vm: waiting.vm.clone(),
         account: place.account,
         program: place.program,
         digest: place.digest,
-        alone,
+        is_exclusive: alone,
         placed_us: now_us,
         prefill_wait_us,
         expected_cached_tokens: chosen.cached_tokens,
-        booked,
-        is_counted: false,
+        booked_service: booked,
+        is_counted_in_crash: false,
     };
     tick.tables.running.insert(attempt, running);
     if waiting.vm != tick.settings.vm {
@@ -228,7 +233,7 @@
             .upstreams
             .iter()
             .position(|name| *name == chosen.upstream);
-        row.next = position.map_or(0, |position| position + 1);
+        row.next_round_robin = position.map_or(0, |position| position + 1);
     }
     availability::refresh_availability(tick, &chosen.upstream);
     let placed = PlacementMessage::Placed {
@@ -247,7 +252,7 @@
     let Some(row) = tick.tables.pools.get(&place.pool) else {
         return 0;
     };
-    let answer_tokens = match row.answer_tokens {
+    let answer_tokens = match row.mean_answer_tokens {
         0 => DEFAULT_ANSWER_TOKENS,
         tokens => tokens,
     };
@@ -255,7 +260,7 @@
     let service = queue_order::service_units(place.prompt_tokens, cached_tokens, answer_tokens);
     let booked = queue_order::weighted_service(tick, &place.account, service);
     if let Some(row) = tick.tables.pools.get_mut(&place.pool) {
-        row.queue.serve(&lane, booked);
+        row.queue.add_service(&lane, booked);
     }
     booked
 }
@@ -263,7 +268,7 @@
 /// Removes a waiting call, or releases its upstream if it was placed in the meantime.
 pub(super) fn withdraw(tick: &mut Tick<'_>, pool: &PoolKey, attempt: AttemptId) {
     if let Some(row) = tick.tables.pools.get_mut(pool) {
-        row.forget(attempt);
+        row.remove_waiting(attempt);
     }
     let Some(running) = tick.tables.running.get(&attempt) else {
         return;
@@ -296,7 +301,7 @@
     }
     if let Some(suspect) = tick.tables.suspects.get(&running.digest)
         && suspect.running == 0
-        && suspect.examined == 0
+        && suspect.pending_examinations == 0
     {
         availability::requeue_held(tick, &running.pool, &running.digest);
     }
@@ -304,14 +309,14 @@
 }
 
 /// Removes an attempt from its upstream and ends its reservation.
-pub(super) fn release(tick: &mut Tick<'_>, attempt: AttemptId, running: &Running) {
+pub(super) fn release(tick: &mut Tick<'_>, attempt: AttemptId, running: &RunningAttempt) {
     if let Some(row) = tick.tables.upstreams.get_mut(&running.upstream) {
         row.attempts.remove(&attempt);
-        if running.alone {
-            row.is_alone = false;
+        if running.is_exclusive {
+            row.has_exclusive_call = false;
         }
     }
-    if running.alone
+    if running.is_exclusive
         && let Some(pool) = tick.tables.pools.get_mut(&running.pool)
     {
         pool.reserved.remove(&running.upstream);
@@ -322,7 +327,7 @@
 }
 
 /// Replaces the service booked for an attempt by the service it received.
-fn settle_service(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+fn settle_service(tick: &mut Tick<'_>, running: &RunningAttempt, finish: &Finish) {
     let lane = queue_order::lane_of(tick, &running.account);
     let is_complete = matches!(finish.result, AttemptResult::Complete);
     let prompt_tokens = if is_complete { finish.prompt_tokens } else { 0 };
@@ -332,27 +337,29 @@
     let Some(row) = tick.tables.pools.get_mut(&running.pool) else {
         return;
     };
-    if received >= running.booked {
-        row.queue.serve(&lane, received - running.booked);
+    if received >= running.booked_service {
+        row.queue
+            .add_service(&lane, received - running.booked_service);
     } else {
-        row.queue.unserve(&lane, running.booked - received);
+        row.queue
+            .subtract_service(&lane, running.booked_service - received);
     }
     if is_complete {
-        let mean = if row.answer_tokens == 0 {
+        let mean = if row.mean_answer_tokens == 0 {
             finish.answer_tokens
         } else {
-            (row.answer_tokens * 31 + finish.answer_tokens) / 32
+            (row.mean_answer_tokens * 31 + finish.answer_tokens) / 32
         };
-        row.answer_tokens = mean;
+        row.mean_answer_tokens = mean;
     }
 }
 
 /// Updates health, limits and cache hints from the result of an attempt.
-fn record_result(tick: &mut Tick<'_>, running: &Running, finish: &Finish) {
+fn record_result(tick: &mut Tick<'_>, running: &RunningAttempt, finish: &Finish) {
     match finish.result {
         AttemptResult::Complete => {
             if let Some(row) = tick.tables.upstreams.get_mut(&finish.upstream) {
-                row.health.succeeded();
+                row.health.record_success();
             }
             outcomes::clear_crash_count(tick, &running.digest);
             limits::record_completion(tick, running, finish);
@@ -367,7 +374,7 @@
 }
 
 /// Returns the number of crashes during which a call's content was running.
-pub(super) fn crash_count(tick: &Tick<'_>, waiting: &Waiting) -> u32 {
+pub(super) fn crash_count(tick: &Tick<'_>, waiting: &QueuedCall) -> u32 {
     let suspect = tick.tables.suspects.get(&waiting.place.digest);
-    suspect.map_or(Suspect::ALONE_CRASHES, |suspect| suspect.crashes)
+    suspect.map_or(Suspect::EXCLUSIVE_RUN_CRASHES, |suspect| suspect.crashes)
 }
--- a/crates/core/src/systems/placement/queue_order.rs
+++ b/crates/core/src/systems/placement/queue_order.rs
@@ -26,7 +26,7 @@
     match tick.settings.preset {
         PolicyPreset::FairShare => LaneOrder::LeastServed,
         PolicyPreset::Latency => LaneOrder::LowestRank {
-            bound: MAX_ACCOUNT_LAG,
+            max_lag: MAX_ACCOUNT_LAG,
         },
     }
 }
@@ -80,7 +80,7 @@
         return 0;
     };
     let root = super::hints::root_of(program);
-    let known = tick.tables.footprints.get(&root);
+    let known = tick.tables.placement_histories.get(&root);
     let known_tokens = known.map_or(0, |footprint| footprint.attained_tokens);
     known_tokens.max(place.spent_tokens)
 }
--- a/crates/core/src/systems/placement/reconfigure.rs
+++ b/crates/core/src/systems/placement/reconfigure.rs
@@ -6,7 +6,7 @@
 use super::{availability, entry, owner};
 use crate::ids::{AttemptId, CallId, PoolKey, UpstreamName, VmName};
 use crate::message::{InFlight, PlacementMessage};
-use crate::tables::{Running, Stage};
+use crate::tables::{RunningAttempt, Stage};
 
 /// Most attempts in one message, which keeps it under the size limit of messages between VMs.
 const MAX_ATTEMPTS_PER_MESSAGE: usize = 500;
@@ -16,10 +16,10 @@
     let tables = &mut *tick.tables;
     for (_, row) in tables.upstreams.iter_mut() {
         row.pools.clear();
-        row.listed = None;
+        row.open_load_permille = None;
     }
     for (key, pool) in tables.pools.iter_mut() {
-        pool.open.clear();
+        pool.available.clear();
         pool.ejected.retain(|name| pool.upstreams.contains(name));
         pool.reserved.retain(|name| pool.upstreams.contains(name));
         for name in &pool.upstreams {
@@ -43,7 +43,7 @@
 /// Applies a new view: drops the state of pools that moved away and of VMs that
 /// left, and reports the calls of this VM to the owners of their pools.
 pub(super) fn apply_view(tick: &mut Tick<'_>) {
-    tick.tables.placed_epoch = tick.tables.view.epoch;
+    tick.tables.placement_epoch = tick.tables.view.epoch;
     drop_waiting(tick);
     drop_running(tick);
     report_calls(tick);
@@ -71,13 +71,13 @@
         .tables
         .pools
         .iter()
-        .flat_map(|(key, pool)| pool.waiting().map(move |waiting| (key, waiting)))
+        .flat_map(|(key, pool)| pool.iter_waiting().map(move |waiting| (key, waiting)))
         .filter(|(key, waiting)| !is_tracked(tick, key, &waiting.vm))
         .map(|(key, waiting)| (key.clone(), waiting.place.attempt))
         .collect();
     for (key, attempt) in stale {
         if let Some(pool) = tick.tables.pools.get_mut(&key) {
-            pool.forget(attempt);
+            pool.remove_waiting(attempt);
         }
     }
 }
@@ -158,7 +158,7 @@
 ) {
     let attempt = in_flight.attempt;
     if let Some(row) = tick.tables.pools.get_mut(pool) {
-        row.forget(attempt);
+        row.remove_waiting(attempt);
     }
     outcomes::raise_crash_count(tick, in_flight.digest, in_flight.crashes);
     let known = tick.tables.running.get(&attempt);
@@ -172,19 +172,19 @@
     if let Some(suspect) = tick.tables.suspects.get_mut(&in_flight.digest) {
         suspect.running += 1;
     }
-    let running = Running {
+    let running = RunningAttempt {
         upstream: in_flight.upstream.clone(),
         pool: pool.clone(),
         vm: sender.vm.clone(),
         account: in_flight.account,
         program: in_flight.program,
         digest: in_flight.digest,
-        alone: false,
+        is_exclusive: false,
         placed_us: tick.now_us,
         prefill_wait_us: 0,
         expected_cached_tokens: 0,
-        booked: 0,
-        is_counted: false,
+        booked_service: 0,
+        is_counted_in_crash: false,
     };
     if let Some(row) = tick.tables.upstreams.get_mut(&running.upstream) {
         row.attempts.insert(attempt);
--- a/crates/core/src/systems/placement/selection.rs
+++ b/crates/core/src/systems/placement/selection.rs
@@ -7,7 +7,7 @@
 use crate::config::UpstreamChoice;
 use crate::ids::{PoolKey, UpstreamName};
 use crate::output::PlacementReason;
-use crate::tables::{Pool, Upstream, Waiting};
+use crate::tables::{Pool, QueuedCall, Upstream};
 
 /// Largest pool in which all available upstreams are compared; larger ones are sampled by hash.
 const MAX_COMPARED_UPSTREAMS: usize = 16;
@@ -59,7 +59,7 @@
 }
 
 /// Selects an upstream with room for a call by the configured policy.
-pub(super) fn select_upstream(tick: &Tick<'_>, key: &PoolKey, waiting: &Waiting) -> Selection {
+pub(super) fn select_upstream(tick: &Tick<'_>, key: &PoolKey, waiting: &QueuedCall) -> Selection {
     let Some(pool) = tick.tables.pools.get(key) else {
         return Selection::Wait;
     };
@@ -68,7 +68,7 @@
         if row.is_some_and(|row| row.health.ejected_until_us > tick.now_us) {
             return Selection::Refuse;
         }
-        if row.is_none_or(|row| row.listed.is_none()) {
+        if row.is_none_or(|row| row.open_load_permille.is_none()) {
             return Selection::Wait;
         }
         return select_first(&mut std::iter::once(pinned), PlacementReason::OnlyAllowed);
@@ -89,16 +89,16 @@
 fn pinned_upstream<'a>(
     tick: &Tick<'_>,
     pool: &Pool,
-    waiting: &'a Waiting,
+    waiting: &'a QueuedCall,
 ) -> Option<&'a UpstreamName> {
     let pinned = waiting.place.only.as_ref()?;
     let row = tick.tables.upstreams.get(pinned)?;
-    let has_crashed = row.health.has_crashed_lately(tick.now_us);
+    let has_crashed = row.health.has_crashed_recently(tick.now_us);
     (pool.upstreams.contains(pinned) && !row.config.leaving && !has_crashed).then_some(pinned)
 }
 
 /// Returns whether a call avoids every usable upstream of a pool small enough to check.
-fn avoids_all(tick: &Tick<'_>, pool: &Pool, waiting: &Waiting) -> bool {
+fn avoids_all(tick: &Tick<'_>, pool: &Pool, waiting: &QueuedCall) -> bool {
     let avoid = &waiting.place.avoid;
     if avoid.is_empty() || pool.upstreams.len() > MAX_COMPARED_UPSTREAMS {
         return false;
@@ -122,17 +122,17 @@
     is_allowed: impl Fn(&UpstreamName) -> bool,
 ) -> Selection {
     let count = pool.upstreams.len();
-    let rotation = (0..count).map(|step| &pool.upstreams[(pool.next + step) % count]);
+    let rotation = (0..count).map(|step| &pool.upstreams[(pool.next_round_robin + step) % count]);
     let mut available = rotation.filter(|name| {
         let row = tick.tables.upstreams.get(name);
-        row.is_some_and(|row| row.listed.is_some()) && is_allowed(name)
+        row.is_some_and(|row| row.open_load_permille.is_some()) && is_allowed(name)
     });
     select_first(&mut available, PlacementReason::InTurn)
 }
 
 /// Selects the available upstream with the fewest running calls relative to its limit.
 fn select_least_loaded(pool: &Pool, is_allowed: impl Fn(&UpstreamName) -> bool) -> Selection {
-    let mut available = pool.open.iter().map(|(_, name)| name);
+    let mut available = pool.available.iter().map(|(_, name)| name);
     let mut allowed = available.by_ref().filter(|name| is_allowed(name));
     select_first(&mut allowed, PlacementReason::LeastRunning)
 }
@@ -157,7 +157,7 @@
 fn select_lowest_cost(
     tick: &Tick<'_>,
     pool: &Pool,
-    waiting: &Waiting,
+    waiting: &QueuedCall,
     is_allowed: impl Fn(&UpstreamName) -> bool,
 ) -> Selection {
     let hints: SmallVec<[(&UpstreamName, u64); 2]> =
@@ -171,7 +171,7 @@
         let Some(row) = tick.tables.upstreams.get(name) else {
             continue;
         };
-        if row.listed.is_none() || !is_allowed(name) {
+        if row.open_load_permille.is_none() || !is_allowed(name) {
             continue;
         }
         let cached_tokens = cached_on(name);
@@ -215,11 +215,11 @@
 fn candidate_names<'a>(
     tick: &Tick<'_>,
     pool: &'a Pool,
-    waiting: &Waiting,
+    waiting: &QueuedCall,
     hints: &[(&'a UpstreamName, u64)],
 ) -> SmallVec<[&'a UpstreamName; MAX_COMPARED_UPSTREAMS]> {
     if pool.upstreams.len() <= MAX_COMPARED_UPSTREAMS {
-        return pool.open.iter().map(|(_, name)| name).collect();
+        return pool.available.iter().map(|(_, name)| name).collect();
     }
     let mut compared: SmallVec<[&UpstreamName; MAX_COMPARED_UPSTREAMS]> =
         hints.iter().map(|(name, _)| *name).collect();
@@ -229,20 +229,25 @@
         let hash = splitmix64(seed.wrapping_add(round));
         let name = &pool.upstreams[(hash % pool.upstreams.len() as u64) as usize];
         let row = tick.tables.upstreams.get(name);
-        if row.is_some_and(|row| row.listed.is_some()) {
+        if row.is_some_and(|row| row.open_load_permille.is_some()) {
             compared.push(name);
         }
     }
-    compared.extend(pool.open.first().map(|(_, name)| name));
+    compared.extend(pool.available.first().map(|(_, name)| name));
     compared
 }
 
 /// Estimates the cost of running a call on an upstream.
-fn estimate_cost_us(tick: &Tick<'_>, row: &Upstream, waiting: &Waiting, cached_tokens: u64) -> u64 {
+fn estimate_cost_us(
+    tick: &Tick<'_>,
+    row: &Upstream,
+    waiting: &QueuedCall,
+    cached_tokens: u64,
+) -> u64 {
     let limit_calls = row.limit_calls(tick.settings.policy.learned_limit).max(1);
     let wait_us = row.prefill_until_us.saturating_sub(tick.now_us);
     // A fuller batch decodes more slowly; a full one about doubles the time of a call.
-    let batch_us = row.hold_us * u64::from(row.running_calls()) / u64::from(limit_calls) / 2;
+    let batch_us = row.mean_call_us * u64::from(row.running_calls()) / u64::from(limit_calls) / 2;
     let read_tokens = waiting.place.prompt_tokens.saturating_sub(cached_tokens);
     let domain = row.config.failure_domain.as_ref();
     let is_cross_domain = domain.is_some_and(|domain| *domain != tick.settings.failure_domain);
@@ -264,7 +269,7 @@
 /// The wait is limited to the prefill cost that the cached prefix saves.
 fn should_wait_for_cache(
     tick: &Tick<'_>,
-    waiting: &Waiting,
+    waiting: &QueuedCall,
     hints: &[(&UpstreamName, u64)],
     best_us: u64,
 ) -> bool {
@@ -273,7 +278,8 @@
         let Some(row) = tick.tables.upstreams.get(name) else {
             return false;
         };
-        if row.listed.is_some() || row.is_alone || !row.is_usable(tick.now_us) {
+        if row.open_load_permille.is_some() || row.has_exclusive_call || !row.is_usable(tick.now_us)
+        {
             return false;
         }
         if waiting.place.avoid.contains(name) {
@@ -281,7 +287,7 @@
         }
         let saved_us = PREFILL_WEIGHT * prefill_us(row, *cached_tokens);
         let limit_calls = row.limit_calls(tick.settings.policy.learned_limit).max(1);
-        let free_us = row.hold_us / u64::from(limit_calls);
+        let free_us = row.mean_call_us / u64::from(limit_calls);
         waited_us < saved_us
             && estimate_cost_us(tick, row, waiting, *cached_tokens) + free_us < best_us
     })
--- a/crates/core/src/systems/rates/allocation.rs
+++ b/crates/core/src/systems/rates/allocation.rs
@@ -1,7 +1,7 @@
 //! Allocation of an account's rate and burst to the holders of its shares.
 
 use crate::message::Demand;
-use crate::tables::{Lending, Limits, Loan, NCALLS_PER_CALL};
+use crate::tables::{Loan, NCALLS_PER_CALL, OwnedAccount, RateLimit};
 
 /// The lowest weight of a holder is the account's rate divided by this.
 ///
@@ -23,8 +23,8 @@
 }
 
 /// Returns a holder's share of the account's rate and burst in proportion to its weight.
-pub(super) fn target_limits(row: &Lending, loan: &Loan) -> Limits {
-    Limits {
+pub(super) fn target_limits(row: &OwnedAccount, loan: &Loan) -> RateLimit {
+    RateLimit {
         rate_mcalls_per_s: scale(row.limits.rate_mcalls_per_s, loan.weight, row.weight),
         burst_ncalls: scale(row.limits.burst_ncalls, loan.weight, row.weight),
     }
@@ -34,9 +34,9 @@
 ///
 /// A share whose burst is below one call isn't lent; its holder receives single calls from the
 /// reserve instead.
-pub(super) fn next_limits(row: &Lending, loan: &Loan) -> Limits {
+pub(super) fn next_limits(row: &OwnedAccount, loan: &Loan) -> RateLimit {
     let target = target_limits(row, loan);
-    let counted = loan.counted();
+    let counted = loan.upper_bound();
     let keeps = !row.is_over_limits();
     // While a grant is unconfirmed, the burst that it frees is kept for the calls that return
     // with the confirmation.
@@ -45,7 +45,7 @@
     } else {
         counted.burst_ncalls + row.reserve.burst_ncalls
     };
-    let next = Limits {
+    let next = RateLimit {
         rate_mcalls_per_s: apply_hysteresis(
             target.rate_mcalls_per_s,
             loan.granted.rate_mcalls_per_s,
@@ -60,7 +60,7 @@
         ),
     };
     if next.burst_ncalls < NCALLS_PER_CALL {
-        return Limits::default();
+        return RateLimit::default();
     }
     next
 }
@@ -68,11 +68,15 @@
 /// Returns the limits of a grant that recalls some calls.
 ///
 /// The burst shrinks by as much, so that the reserve can hold the calls that are returned.
-pub(super) fn limits_after_recall(row: &Lending, loan: &Loan, recall_ncalls: u64) -> Limits {
+pub(super) fn limits_after_recall(
+    row: &OwnedAccount,
+    loan: &Loan,
+    recall_ncalls: u64,
+) -> RateLimit {
     let next = next_limits(row, loan);
     let granted_ncalls = loan.granted.burst_ncalls;
     let left_ncalls = granted_ncalls.saturating_sub(recall_ncalls);
-    Limits {
+    RateLimit {
         burst_ncalls: next.burst_ncalls.min(left_ncalls),
         ..next
     }
@@ -89,10 +93,10 @@
 ///
 /// It covers the holder's waiting calls, its weighted part of the reserve as far as its bucket
 /// has room, and the part of the reserve that belongs to its additional burst.
-pub(super) fn ncalls_to_move(row: &Lending, loan: &Loan, next: Limits, now_us: u64) -> u64 {
-    let level_ncalls = loan.level_at_ncalls(now_us);
+pub(super) fn ncalls_to_move(row: &OwnedAccount, loan: &Loan, next: RateLimit, now_us: u64) -> u64 {
+    let level_ncalls = loan.estimate_level_ncalls(now_us);
     let free_ncalls = row.reserve.level_ncalls;
-    let counted_ncalls = loan.counted().burst_ncalls;
+    let counted_ncalls = loan.upper_bound().burst_ncalls;
     let grown_ncalls = next.burst_ncalls.saturating_sub(counted_ncalls);
     let along_ncalls = scale(free_ncalls, grown_ncalls, row.reserve.burst_ncalls);
     let part_ncalls = scale(free_ncalls, loan.weight, row.weight);
--- a/crates/core/src/systems/rates/calls.rs
+++ b/crates/core/src/systems/rates/calls.rs
@@ -39,7 +39,7 @@
     let Some(share) = tables.shares.get_mut(&account) else {
         return;
     };
-    share.offered.count(now_us);
+    share.arrivals.count(now_us);
     share.last_call_us = now_us;
     let begins = tables
         .calls
@@ -105,7 +105,7 @@
             return;
         };
         share.drop_expired(now_us);
-        if !share.take(begins, now_us) {
+        if !share.try_take(begins, now_us) {
             return;
         }
         share.queue_mut(begins).pop_front();
@@ -120,11 +120,11 @@
         return;
     };
     let begins = share.waiting.is_empty();
-    if begins && share.beginning.is_empty() {
+    if begins && share.waiting_to_begin.is_empty() {
         share.retry_us = 0;
         return;
     }
-    let is_owned = share.pooled.is_none();
+    let is_owned = share.replicated.is_none();
     let ready_us = share.ready_in_us(begins, now_us).map(|us| now_us + us);
     if let Some(ready_us) = ready_us
         && (share.refill_due_us == 0 || ready_us < share.refill_due_us)
@@ -197,7 +197,7 @@
     };
     let mut bucket = share.bucket;
     bucket.refill(now_us);
-    let debt_ncalls = share.pooled.map_or(0, |pooled| pooled.debt_ncalls);
+    let debt_ncalls = share.replicated.map_or(0, |pooled| pooled.debt_ncalls);
     tick.decide(Decision::NoRoom {
         call,
         account: account.clone(),
@@ -214,10 +214,10 @@
 fn owner_wait_end_us(tick: &Tick<'_>, id: CallId, account: &AccountName) -> Option<u64> {
     let share = tick.tables.shares.get(account)?;
     let until_us = tick.tables.calls.get(&id)?.arrived_us + MAX_OWNER_WAIT_US;
-    if share.pooled.is_some() {
+    if share.replicated.is_some() {
         return None;
     }
-    let is_unknown = share.held.is_none() || share.is_owner_new;
+    let is_unknown = share.held.is_none() || share.is_owner_taking_over;
     (is_unknown && tick.now_us < until_us).then_some(until_us)
 }
 
@@ -226,7 +226,7 @@
 /// If refused, its caller would retry at about the time at which the call is admitted.
 fn refill_wait_end_us(tick: &Tick<'_>, id: CallId, account: &AccountName) -> Option<u64> {
     let share = tick.tables.shares.get(account)?;
-    if share.pooled.is_some() || share.waiting.front() != Some(&id) {
+    if share.replicated.is_some() || share.waiting.front() != Some(&id) {
         return None;
     }
     let wait_us = tick.settings.rate_wait_ms * 1_000;
--- a/crates/core/src/systems/rates/holder.rs
+++ b/crates/core/src/systems/rates/holder.rs
@@ -4,7 +4,7 @@
 use super::calls;
 use crate::ids::{AccountName, VmName};
 use crate::message::{Demand, DemandKind, Grant, HeldShare, RatesMessage};
-use crate::tables::{Bucket, Held, Share, Timer};
+use crate::tables::{Bucket, HeldGrant, Share, Timer};
 
 /// Time after the last call at which a share is released; see section 4.5 of `docs/design.md`.
 const IDLE_TIMEOUT_US: u64 = 5_000_000;
@@ -59,7 +59,7 @@
         return;
     }
     share.retry_us = FIRST_RETRY_US;
-    let next_us = share.asked_us + MIN_DEMAND_DELAY_US;
+    let next_us = share.last_ask_us + MIN_DEMAND_DELAY_US;
     if share.demand_seq > 0 && next_us > now_us {
         schedule_demand(tick, account, next_us);
         return;
@@ -75,8 +75,8 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    share.asked_us = now_us;
-    share.ask_due_us = 0;
+    share.last_ask_us = now_us;
+    share.demand_due_us = 0;
     let mut due_us = now_us + renew_us;
     if share.waiting.is_empty() {
         share.retry_us = 0;
@@ -93,10 +93,10 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    if share.ask_due_us == 0 || share.ask_due_us > now_us {
+    if share.demand_due_us == 0 || share.demand_due_us > now_us {
         return;
     }
-    share.ask_due_us = 0;
+    share.demand_due_us = 0;
     let is_idle = share.waiting.is_empty() && now_us >= share.last_call_us + IDLE_TIMEOUT_US;
     if is_idle {
         release(tick, account);
@@ -144,7 +144,7 @@
         seq: share.demand_seq,
         floor_seq: share.floor_seq,
         sent_us: now_us,
-        wanted_mcalls_per_s: share.offered.rate_mcalls_per_s(now_us),
+        wanted_mcalls_per_s: share.arrivals.rate_mcalls_per_s(now_us),
         waiting_calls: share.waiting.len() as u64,
         level_ncalls: bucket.level_ncalls,
         held: share.held.map(|held| describe_share(&held, &bucket)),
@@ -153,7 +153,7 @@
 }
 
 /// Returns the state of a share as it is reported to the owner.
-fn describe_share(held: &Held, bucket: &Bucket) -> HeldShare {
+fn describe_share(held: &HeldGrant, bucket: &Bucket) -> HeldShare {
     HeldShare {
         id: held.id,
         applied_seq: held.applied_seq,
@@ -223,10 +223,10 @@
         share.drop_grant();
         share.floor_seq = grant.answers_seq;
     }
-    share.is_owner_new = grant.is_taking_over;
+    share.is_owner_taking_over = grant.is_taking_over;
     let bucket = &mut share.bucket;
     bucket.refill(now_us);
-    let held = share.held.get_or_insert(Held {
+    let held = share.held.get_or_insert(HeldGrant {
         id: grant.id,
         applied_seq: 0,
         until_us: 0,
@@ -297,10 +297,10 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    if share.ask_due_us != 0 && share.ask_due_us <= due_us {
+    if share.demand_due_us != 0 && share.demand_due_us <= due_us {
         return;
     }
-    share.ask_due_us = due_us;
-    let timer = Timer::ShareAsk(account.clone());
+    share.demand_due_us = due_us;
+    let timer = Timer::ShareDemand(account.clone());
     tick.tables.timers.set(due_us, timer);
 }
--- a/crates/core/src/systems/rates/mod.rs
+++ b/crates/core/src/systems/rates/mod.rs
@@ -85,7 +85,7 @@
     match timer {
         Timer::RateRefill(account) => calls::handle_refill_due(tick, &account),
         Timer::RateWait(call) => calls::handle_wait_timeout(tick, call),
-        Timer::ShareAsk(account) => holder::renew_or_release(tick, &account),
+        Timer::ShareDemand(account) => holder::renew_or_release(tick, &account),
         Timer::LoanQueue(account) => owner::process_queue(tick, &account),
         Timer::LoanEnd(account, holder, id) => owner::handle_loan_end(tick, &account, &holder, id),
         Timer::TakeoverEnd(account) => takeover::end_takeover(tick, &account),
--- a/crates/core/src/systems/rates/owner.rs
+++ b/crates/core/src/systems/rates/owner.rs
@@ -7,7 +7,7 @@
 use crate::config::CoreSettings;
 use crate::ids::{AccountName, Epoch};
 use crate::message::{Demand, DemandKind, Grant, RatesMessage, ShareId};
-use crate::tables::{Holder, Lending, Loan, NCALLS_PER_CALL, Timer};
+use crate::tables::{Holder, Loan, NCALLS_PER_CALL, OwnedAccount, Timer};
 
 /// Most holders from which calls are recalled, or whose shares are shrunk, for one demand.
 ///
@@ -51,7 +51,7 @@
         vm: sender.vm,
         incarnation: sender.incarnation,
     };
-    let Some(row) = tick.tables.loans.get(&demand.account) else {
+    let Some(row) = tick.tables.owned_accounts.get(&demand.account) else {
         return;
     };
     match classify_demand(row, &holder, demand) {
@@ -67,7 +67,7 @@
         DemandStatus::NoLoan => open_loan(tick, &holder, demand),
     }
     let now_us = tick.now_us;
-    let Some(row) = tick.tables.loans.get_mut(&demand.account) else {
+    let Some(row) = tick.tables.owned_accounts.get_mut(&demand.account) else {
         return;
     };
     let returned_ncalls = apply_report(row, &holder, demand, now_us);
@@ -103,7 +103,7 @@
 }
 
 /// Compares a demand with the loan of its holder and the state of a takeover.
-fn classify_demand(row: &Lending, holder: &Holder, demand: &Demand) -> DemandStatus {
+fn classify_demand(row: &OwnedAccount, holder: &Holder, demand: &Demand) -> DemandStatus {
     let loan = row.loans.get(holder);
     if let Some(loan) = loan {
         if demand.seq == loan.demand_seq {
@@ -150,7 +150,7 @@
 /// Inserts a loan and schedules its expiry.
 pub(super) fn insert_loan(tick: &mut Tick<'_>, account: &AccountName, holder: &Holder, loan: Loan) {
     let id = loan.id;
-    if let Some(row) = tick.tables.loans.get_mut(account) {
+    if let Some(row) = tick.tables.owned_accounts.get_mut(account) {
         row.insert(holder, loan, tick.now_us);
     }
     let due_us = tick.now_us + CoreSettings::with_clock_margin_us(tick.settings.grant_ms);
@@ -159,7 +159,7 @@
 }
 
 /// Updates a loan with what a demand reports and confirms; returns the calls that came back.
-fn apply_report(row: &mut Lending, holder: &Holder, demand: &Demand, now_us: u64) -> u64 {
+fn apply_report(row: &mut OwnedAccount, holder: &Holder, demand: &Demand, now_us: u64) -> u64 {
     let weight = allocation::holder_weight(demand, row.limits.rate_mcalls_per_s);
     let mut returned_ncalls = 0;
     row.change(holder, now_us, |loan| {
@@ -183,7 +183,7 @@
 }
 
 /// Issues a grant for a demand, and recalls calls from other holders if too little is free.
-fn answer_ask(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut HolderList) {
+fn answer_ask(row: &mut OwnedAccount, holder: &Holder, now_us: u64, granted: &mut HolderList) {
     if recall_spare(row, holder, now_us, granted) {
         return;
     }
@@ -206,7 +206,12 @@
 }
 
 /// Recalls the calls of a holder without waiting calls for the first holder in the queue.
-fn recall_spare(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut HolderList) -> bool {
+fn recall_spare(
+    row: &mut OwnedAccount,
+    holder: &Holder,
+    now_us: u64,
+    granted: &mut HolderList,
+) -> bool {
     // Until smaller grants are confirmed, the reserve has no room for calls that come back:
     // they would be lost, and a holder on this VM would be asked in an endless loop.
     if row.is_over_limits() {
@@ -220,7 +225,7 @@
     let Some(loan) = row.loans.get(holder).filter(|loan| loan.waiting_calls == 0) else {
         return false;
     };
-    let ncalls = loan.level_at_ncalls(now_us).min(need_ncalls);
+    let ncalls = loan.estimate_level_ncalls(now_us).min(need_ncalls);
     if ncalls < MIN_RECALL_NCALLS {
         return false;
     }
@@ -230,7 +235,7 @@
 }
 
 /// Appends a holder to the queue unless it is queued.
-fn enqueue(row: &mut Lending, holder: &Holder, now_us: u64) {
+fn enqueue(row: &mut OwnedAccount, holder: &Holder, now_us: u64) {
     let is_queued = row.loans.get(holder).is_none_or(|loan| loan.is_queued);
     if !is_queued {
         row.change(holder, now_us, |loan| loan.is_queued = true);
@@ -240,7 +245,7 @@
 
 /// Recalls calls from the holders whose buckets have filled for longest.
 fn recall_from_others(
-    row: &mut Lending,
+    row: &mut OwnedAccount,
     holder: &Holder,
     mut need_ncalls: u64,
     now_us: u64,
@@ -261,7 +266,7 @@
             .loans
             .get(&other)
             .filter(|loan| loan.waiting_calls == 0)
-            .map_or(0, |loan| loan.level_at_ncalls(now_us));
+            .map_or(0, |loan| loan.estimate_level_ncalls(now_us));
         let ncalls = level_ncalls.min(need_ncalls);
         if ncalls >= MIN_RECALL_NCALLS {
             issue_grant(row, &other, ncalls, now_us);
@@ -272,8 +277,8 @@
 }
 
 /// Shrinks the shares that are largest in relation to their holders' weights.
-fn shrink_largest(row: &mut Lending, holder: &Holder, now_us: u64, granted: &mut HolderList) {
-    let last = row.by_service.iter().rev().map(|(_, other)| other);
+fn shrink_largest(row: &mut OwnedAccount, holder: &Holder, now_us: u64, granted: &mut HolderList) {
+    let last = row.by_service_level.iter().rev().map(|(_, other)| other);
     let others: HolderList = last
         .filter(|&other| other != holder)
         .take(MAX_RECALLS)
@@ -293,7 +298,7 @@
 }
 
 /// Issues grants from the reserve to holders in the queue.
-pub(super) fn serve_queue(row: &mut Lending, now_us: u64, granted: &mut HolderList) {
+pub(super) fn serve_queue(row: &mut OwnedAccount, now_us: u64, granted: &mut HolderList) {
     for _ in 0..MAX_SERVED_HOLDERS {
         let Some(holder) = row.queue.front().cloned() else {
             return;
@@ -303,7 +308,7 @@
             dequeue(row, &holder, now_us);
             continue;
         };
-        let level_ncalls = loan.level_at_ncalls(now_us) + row.reserve.level_ncalls;
+        let level_ncalls = loan.estimate_level_ncalls(now_us) + row.reserve.level_ncalls;
         let target = allocation::target_limits(row, loan);
         let has_rate = row.reserve.rate_mcalls_per_s > target.rate_mcalls_per_s / 4
             && loan.granted.rate_mcalls_per_s < target.rate_mcalls_per_s / 4 * 3;
@@ -321,13 +326,13 @@
 }
 
 /// Removes `holder`, the first in the queue.
-fn dequeue(row: &mut Lending, holder: &Holder, now_us: u64) {
+fn dequeue(row: &mut OwnedAccount, holder: &Holder, now_us: u64) {
     row.queue.pop_front();
     row.change(holder, now_us, |loan| loan.is_queued = false);
 }
 
 /// Updates a loan to its next grant, which recalls `recall_ncalls`.
-fn issue_grant(row: &mut Lending, holder: &Holder, recall_ncalls: u64, now_us: u64) {
+fn issue_grant(row: &mut OwnedAccount, holder: &Holder, recall_ncalls: u64, now_us: u64) {
     row.reserve.refill(now_us);
     let Some(loan) = row.loans.get(holder) else {
         return;
@@ -354,7 +359,7 @@
     let margin_us = CoreSettings::with_clock_margin_us(valid_ms);
     for holder in holders {
         let epoch = tick.tables.view.epoch;
-        let Some(row) = tick.tables.loans.get_mut(account) else {
+        let Some(row) = tick.tables.owned_accounts.get_mut(account) else {
             return;
         };
         let is_taking_over = row.takeover.is_some();
@@ -384,7 +389,7 @@
 /// Schedules the time at which the reserve holds a call for the queue.
 fn schedule_queue(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
-    let Some(row) = tick.tables.loans.get_mut(account) else {
+    let Some(row) = tick.tables.owned_accounts.get_mut(account) else {
         return;
     };
     if row.queue.is_empty() || row.queue_due_us != 0 {
@@ -403,7 +408,7 @@
     let now_us = tick.now_us;
     let epoch = tick.tables.view.epoch;
     let may_act = may_act(tick, epoch);
-    let Some(row) = tick.tables.loans.get_mut(account) else {
+    let Some(row) = tick.tables.owned_accounts.get_mut(account) else {
         return;
     };
     row.queue_due_us = 0;
@@ -425,7 +430,7 @@
     id: ShareId,
 ) {
     let now_us = tick.now_us;
-    let row = tick.tables.loans.get(account);
+    let row = tick.tables.owned_accounts.get(account);
     let loan = row.and_then(|row| row.loans.get(holder));
     let Some(loan) = loan.filter(|loan| loan.id == id) else {
         return;
@@ -437,7 +442,7 @@
         tick.tables.timers.set(due_us, timer);
         return;
     }
-    if let Some(row) = tick.tables.loans.get_mut(account) {
+    if let Some(row) = tick.tables.owned_accounts.get_mut(account) {
         row.remove(holder, now_us);
     }
     process_queue(tick, account);
@@ -453,11 +458,11 @@
     let may_act = may_act(tick, epoch);
     let tables = &mut *tick.tables;
     let limits = tables.accounts.get(account).map(|row| row.limits());
-    let (Some(limits), Some(row)) = (limits, tables.loans.get_mut(account)) else {
+    let (Some(limits), Some(row)) = (limits, tables.owned_accounts.get_mut(account)) else {
         return;
     };
     let limits = match &row.takeover {
-        Some(takeover) => takeover.known.lower(limits),
+        Some(takeover) => takeover.known_limits.lower(limits),
         None => limits,
     };
     if limits == row.limits {
--- a/crates/core/src/systems/rates/pooled.rs
+++ b/crates/core/src/systems/rates/pooled.rs
@@ -7,7 +7,7 @@
 use super::super::Tick;
 use super::calls;
 use crate::ids::AccountName;
-use crate::tables::{Bucket, Limits, NCALLS_PER_CALL, Pooled, Share};
+use crate::tables::{Bucket, NCALLS_PER_CALL, RateLimit, ReplicatedBucket, Share};
 
 /// Below the burst divided by this, each VM admits calls only within its own part of the rate.
 const RESERVE_DIVISOR: u64 = 10;
@@ -32,7 +32,7 @@
     let Some(limits) = tick.tables.accounts.get(account).map(|row| row.limits()) else {
         return;
     };
-    let (heard, known) = tick.tables.peering.part();
+    let (heard, known) = tick.tables.peering.usable_fraction();
     // An account of the first configuration that this VM reads may have used its burst on other
     // VMs already; one that is published later is new to all VMs.
     let starts_full = tick.settings.is_first_start || tick.tables.fleet.revision.0 > 0;
@@ -56,18 +56,18 @@
         level_ncalls,
         updated_us: now_us,
     };
-    let before = share.pooled.unwrap_or_default();
+    let before = share.replicated.unwrap_or_default();
     let pace_rate = rate_mcalls_per_s / heard.max(1);
     let pace_burst = (pace_rate * PACE_BURST_US).max(NCALLS_PER_CALL);
-    share.pooled = Some(Pooled {
+    share.replicated = Some(ReplicatedBucket {
         reserve_ncalls: burst_ncalls / RESERVE_DIVISOR,
-        begin_ncalls: burst_ncalls * MIN_BEGIN_LEVEL_PERCENT / 100,
+        begin_reserve_ncalls: burst_ncalls * MIN_BEGIN_LEVEL_PERCENT / 100,
         debt_ncalls: before.debt_ncalls,
-        pace: Bucket {
+        own_part: Bucket {
             rate_mcalls_per_s: pace_rate,
             burst_ncalls: pace_burst,
-            level_ncalls: before.pace.level_ncalls.min(pace_burst),
-            updated_us: before.pace.updated_us.max(now_us),
+            level_ncalls: before.own_part.level_ncalls.min(pace_burst),
+            updated_us: before.own_part.updated_us.max(now_us),
         },
     });
 }
@@ -77,12 +77,12 @@
 /// Half of the burst may be used at once; the other half is spread over the window. No window
 /// holds more calls than if the whole burst were used at once, and an account that stays at its
 /// limit can use its burst in every window.
-fn spread_over_window(limits: Limits, window_ms: u64) -> Limits {
+fn spread_over_window(limits: RateLimit, window_ms: u64) -> RateLimit {
     if window_ms == 0 {
         return limits;
     }
     let spread_ncalls = limits.burst_ncalls / 2;
-    Limits {
+    RateLimit {
         rate_mcalls_per_s: limits.rate_mcalls_per_s + spread_ncalls / (window_ms * 1_000),
         burst_ncalls: limits.burst_ncalls - spread_ncalls,
     }
@@ -94,9 +94,9 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    if let Some(pooled) = &mut share.pooled {
-        pooled.pay_back(&mut share.bucket, now_us);
-        pooled.spend(&mut share.bucket, ncalls);
+    if let Some(pooled) = &mut share.replicated {
+        pooled.repay_debt(&mut share.bucket, now_us);
+        pooled.debit(&mut share.bucket, ncalls);
     }
 }
 
@@ -106,13 +106,13 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    let Some(pooled) = &mut share.pooled else {
+    let Some(pooled) = &mut share.replicated else {
         return;
     };
     let bucket = &mut share.bucket;
     bucket.refill(now_us);
     bucket.level_ncalls = (bucket.level_ncalls + NCALLS_PER_CALL).min(bucket.burst_ncalls);
-    pooled.pay_back(bucket, now_us);
+    pooled.repay_debt(bucket, now_us);
     tick.tables.peering.uncount_admitted(account);
 }
 
--- a/crates/core/src/systems/rates/takeover.rs
+++ b/crates/core/src/systems/rates/takeover.rs
@@ -9,7 +9,7 @@
 use crate::config::CoreSettings;
 use crate::ids::{AccountName, Epoch, VmName};
 use crate::message::{Demand, RatesMessage, Unlent};
-use crate::tables::{Bucket, Holder, Lending, Limits, Loan, Takeover, Timer};
+use crate::tables::{Bucket, Holder, Loan, OwnedAccount, RateLimit, Takeover, Timer};
 
 /// Interval at which members that have not answered are queried again.
 const QUERY_RETRY_US: u64 = 200_000;
@@ -65,12 +65,12 @@
     account: &AccountName,
     is_next: bool,
 ) -> Option<(VmName, Unlent)> {
-    tick.tables.loans.get(account)?;
+    tick.tables.owned_accounts.get(account)?;
     let owns = is_owner(tick, account);
     if owns && is_next {
         return None;
     }
-    let mut row = tick.tables.loans.remove(account)?;
+    let mut row = tick.tables.owned_accounts.remove(account)?;
     if owns || !is_next {
         return None;
     }
@@ -99,7 +99,7 @@
 
 /// Creates the row of an account if this VM owns it; returns whether there is a row.
 pub(super) fn ensure_row(tick: &mut Tick<'_>, account: &AccountName) -> bool {
-    if tick.tables.loans.contains_key(account) {
+    if tick.tables.owned_accounts.contains_key(account) {
         return true;
     }
     let tables = &*tick.tables;
@@ -110,7 +110,7 @@
     let now_us = tick.now_us;
     let wait_ms = tick.settings.lease_ms + tick.settings.grant_ms;
     let until_us = tables.ownership.learned_us + CoreSettings::with_clock_margin_us(wait_ms);
-    let mut row = Lending::default();
+    let mut row = OwnedAccount::default();
     if tables.view.epoch == FIRST_EPOCH || now_us >= until_us {
         row.reserve = Bucket::full(limits.rate_mcalls_per_s, limits.burst_ncalls, now_us);
         row.limits = limits;
@@ -125,13 +125,13 @@
         let ownership = &mut tick.tables.ownership;
         ownership.taken_over.push(account.clone());
     }
-    tick.tables.loans.insert(account.clone(), row);
+    tick.tables.owned_accounts.insert(account.clone(), row);
     true
 }
 
 /// Includes a takeover that began in an earlier view in the queries of this one.
 fn continue_takeover(tick: &mut Tick<'_>, account: &AccountName) {
-    let row = tick.tables.loans.get(account);
+    let row = tick.tables.owned_accounts.get(account);
     let is_pending = row.is_some_and(|row| row.takeover.is_some());
     let taken_over = &mut tick.tables.ownership.taken_over;
     if is_pending && taken_over.last() != Some(account) {
@@ -221,12 +221,12 @@
         if !takeover.reported.insert(reporter.clone()) {
             continue;
         }
-        let limits = Limits {
+        let limits = RateLimit {
             rate_mcalls_per_s: unlent.rate_mcalls_per_s,
             burst_ncalls: unlent.burst_ncalls,
         };
         add_known_limits(tick, &unlent.account, limits);
-        if let Some(row) = tick.tables.loans.get_mut(&unlent.account) {
+        if let Some(row) = tick.tables.owned_accounts.get_mut(&unlent.account) {
             row.deposit(unlent.calls_ncalls);
         }
         owner::process_queue(tick, &unlent.account);
@@ -238,7 +238,7 @@
     let Some(held) = &demand.held else {
         return;
     };
-    let limits = Limits {
+    let limits = RateLimit {
         rate_mcalls_per_s: held.rate_mcalls_per_s,
         burst_ncalls: held.burst_ncalls,
     };
@@ -263,22 +263,22 @@
 
 /// Returns the takeover of an account if one is under way.
 fn takeover_mut<'a>(tick: &'a mut Tick<'_>, account: &AccountName) -> Option<&'a mut Takeover> {
-    let row = tick.tables.loans.get_mut(account)?;
+    let row = tick.tables.owned_accounts.get_mut(account)?;
     row.takeover.as_mut()
 }
 
 /// Raises the limits that may be lent during a takeover by what became known to be free or adopted.
-fn add_known_limits(tick: &mut Tick<'_>, account: &AccountName, limits: Limits) {
+fn add_known_limits(tick: &mut Tick<'_>, account: &AccountName, limits: RateLimit) {
     let tables = &mut *tick.tables;
     let published = tables.accounts.get(account).map(|row| row.limits());
-    let (Some(published), Some(row)) = (published, tables.loans.get_mut(account)) else {
+    let (Some(published), Some(row)) = (published, tables.owned_accounts.get_mut(account)) else {
         return;
     };
     let Some(takeover) = row.takeover.as_mut() else {
         return;
     };
-    takeover.known = takeover.known.plus(limits);
-    let limits = takeover.known.lower(published);
+    takeover.known_limits = takeover.known_limits.plus(limits);
+    let limits = takeover.known_limits.lower(published);
     row.set_limits(limits, tick.now_us);
 }
 
@@ -286,7 +286,7 @@
 pub(super) fn end_takeover(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let tables = &*tick.tables;
-    let row = tables.loans.get(account);
+    let row = tables.owned_accounts.get(account);
     let Some(takeover) = row.and_then(|row| row.takeover.as_ref()) else {
         return;
     };
@@ -299,7 +299,7 @@
     }
     let tables = &mut *tick.tables;
     let limits = tables.accounts.get(account).map(|row| row.limits());
-    if let (Some(limits), Some(row)) = (limits, tables.loans.get_mut(account)) {
+    if let (Some(limits), Some(row)) = (limits, tables.owned_accounts.get_mut(account)) {
         row.takeover = None;
         row.set_limits(limits, now_us);
     }
--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -9,7 +9,7 @@
 use super::{Tick, budgets, config, peers};
 use crate::input::{SourceEvent, SourcePart};
 use crate::output::{Decision, Output, SourceRequest};
-use crate::tables::{Knowledge, Reading, Timer};
+use crate::tables::{ProgramKnowledge, ReadState, Timer};
 
 /// Age of the data at which the first VM reads again.
 const FIRST_READ_US: u64 = 450_000;
@@ -99,7 +99,7 @@
         }
         SourceEvent::Losses { losses, records } => {
             answered(tick, &SourcePart::Losses);
-            if tick.tables.source.knowledge == Knowledge::Pending {
+            if tick.tables.source.knowledge == ProgramKnowledge::Pending {
                 for record in &records {
                     budgets::restore_record(tick, record);
                 }
@@ -117,7 +117,7 @@
 }
 
 /// Returns the read state of a part; budgets have none.
-fn reading_of<'a>(tick: &'a mut Tick<'_>, part: &SourcePart) -> Option<&'a mut Reading> {
+fn reading_of<'a>(tick: &'a mut Tick<'_>, part: &SourcePart) -> Option<&'a mut ReadState> {
     let source = &mut tick.tables.source;
     match part {
         SourcePart::Config => Some(&mut source.config),
@@ -135,7 +135,7 @@
         reading.failures = 0;
         reading.retry_us = 0;
     }
-    if std::mem::take(&mut tick.tables.source.is_lost) {
+    if std::mem::take(&mut tick.tables.source.is_unreachable) {
         tick.decide(Decision::SourceBack);
     }
 }
@@ -149,7 +149,7 @@
         reading.failures += 1;
         reading.retry_us = now_us + pause_us;
     }
-    if !std::mem::replace(&mut tick.tables.source.is_lost, true) {
+    if !std::mem::replace(&mut tick.tables.source.is_unreachable, true) {
         let age_us = tick.tables.source.config.age_us(now_us);
         tick.decide(Decision::SourceLost {
             config_age_ms: age_us.map(|age_us| age_us / 1_000),
@@ -166,7 +166,7 @@
         .age_us(now_us)
         .is_some_and(|age_us| age_us > AWAY_US)
     {
-        source.returned_us = Some(now_us);
+        source.list_resumed_us = Some(now_us);
     }
 }
 
@@ -222,10 +222,10 @@
 /// That is the case when the other VMs had time to report the programs and none did.
 fn asks_losses(tick: &Tick<'_>) -> bool {
     let source = &tick.tables.source;
-    let is_pending = source.knowledge == Knowledge::Pending;
+    let is_pending = source.knowledge == ProgramKnowledge::Pending;
     let has_waited = tick.now_us >= source.started_us + LOSSES_US;
     let is_heard = source.vms.read_us.is_some();
-    is_pending && is_heard && has_waited && tick.tables.peering.asked_snapshot_us.is_none()
+    is_pending && is_heard && has_waited && tick.tables.peering.snapshot_requested_us.is_none()
 }
 
 /// Returns the age of the data at which a VM of this rank reads again.
@@ -237,7 +237,7 @@
 }
 
 /// Returns when a part has to be read, after any backoff or pending request.
-fn due_us(reading: &Reading, age_us: u64) -> u64 {
+fn due_us(reading: &ReadState, age_us: u64) -> u64 {
     let old_us = reading.read_us.map_or(0, |read_us| read_us + age_us);
     let answer_us = reading.asked_us.map_or(0, |asked_us| asked_us + GIVE_UP_US);
     old_us.max(reading.retry_us).max(answer_us)
--- a/crates/core/src/systems/timers/mod.rs
+++ b/crates/core/src/systems/timers/mod.rs
@@ -10,7 +10,7 @@
         match &timer {
             Timer::RateWait(_)
             | Timer::RateRefill(_)
-            | Timer::ShareAsk(_)
+            | Timer::ShareDemand(_)
             | Timer::LoanQueue(_)
             | Timer::LoanEnd(..)
             | Timer::TakeoverEnd(_)
@@ -20,9 +20,9 @@
             | Timer::TurnProbe(..)
             | Timer::SettleRetry(_)
             | Timer::RequestRetry(_)
-            | Timer::EndedForget(_)
-            | Timer::TombstoneForget(_)
-            | Timer::WitnessForget(_)
+            | Timer::EndedRequestExpiry(_)
+            | Timer::TombstoneExpiry(_)
+            | Timer::WitnessExpiry(_)
             | Timer::TransferRetry(_)
             | Timer::ReleaseRetry(_)
             | Timer::ProgramLease(_) => work.homes.due.push(timer),
@@ -32,8 +32,8 @@
             | Timer::QueueAge(..)
             | Timer::RunningCheck(_)
             | Timer::UpstreamReady(_)
-            | Timer::FootprintIdle(_) => work.placement.due_timers.push(timer),
-            Timer::CrashVerdict(_) | Timer::SuspectIdle(_) | Timer::QuarantineEnd(_) => {
+            | Timer::PlacementHistoryIdle(_) => work.placement.due_timers.push(timer),
+            Timer::CrashDecision(_) | Timer::SuspectIdle(_) | Timer::QuarantineEnd(_) => {
                 work.outcomes.due_timers.push(timer);
             }
             Timer::OrdersReview(_) => work.orders.due_timers.push(timer),
--- a/crates/core/src/tables/account.rs
+++ b/crates/core/src/tables/account.rs
@@ -1,6 +1,6 @@
 //! Client accounts and their keys.
 
-use super::{Limits, NCALLS_PER_CALL};
+use super::{NCALLS_PER_CALL, RateLimit};
 use crate::config::AccountConfig;
 use crate::ids::{AccountName, Secret256};
 
@@ -13,8 +13,8 @@
 
 impl Account {
     /// Returns its rate and burst over all VMs.
-    pub fn limits(&self) -> Limits {
-        Limits {
+    pub fn limits(&self) -> RateLimit {
+        RateLimit {
             rate_mcalls_per_s: self.config.rate_mcalls_per_s,
             burst_ncalls: self.config.burst_calls * NCALLS_PER_CALL,
         }
--- a/crates/core/src/tables/bucket.rs
+++ b/crates/core/src/tables/bucket.rs
@@ -14,9 +14,9 @@
 /// use knapweeddale_core::tables::{Bucket, NCALLS_PER_CALL};
 ///
 /// let mut bucket = Bucket::full(10_000, 2 * NCALLS_PER_CALL, 0);
-/// assert!(bucket.take(0) && bucket.take(0) && !bucket.take(0));
+/// assert!(bucket.try_take(0) && bucket.try_take(0) && !bucket.try_take(0));
 /// assert_eq!(bucket.ready_in_us(0), Some(100_000));
-/// assert!(bucket.take(100_000));
+/// assert!(bucket.try_take(100_000));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Bucket {
@@ -53,7 +53,7 @@
     }
 
     /// Takes one call out; returns whether there was one.
-    pub fn take(&mut self, now_us: u64) -> bool {
+    pub fn try_take(&mut self, now_us: u64) -> bool {
         self.refill(now_us);
         if self.level_ncalls < NCALLS_PER_CALL {
             return false;
--- a/crates/core/src/tables/budget.rs
+++ b/crates/core/src/tables/budget.rs
@@ -5,26 +5,26 @@
 use crate::ids::{CallId, Incarnation, ProgramKey, UpstreamName, VmName};
 
 /// Part of a budget that may be used without a record in the store: one in this many.
-const FREE_PART: u64 = 4;
+const FREE_DIVISOR: u64 = 4;
 
 /// Part of a budget that a new record counts as used at least: one in this many.
-const UNRECORDED_PART: u64 = 2;
+const UNRECORDED_DIVISOR: u64 = 2;
 
 /// Turns that one line may run before all VMs know of the first of them.
-const UNSEEN_TURNS: u64 = 2;
+const MAX_UNSEEN_TURNS: u64 = 2;
 
 /// Turns that the lines of a program may run together before all VMs know of them.
-const UNSEEN_PARALLEL_TURNS: u64 = 10;
+const MAX_UNSEEN_PARALLEL_TURNS: u64 = 10;
 
 /// Turns in a budget from which sub-agents need no reservation either.
-const AMPLE_TURNS: u64 = 16;
+const MIN_TURNS_FOR_AGENTS: u64 = 16;
 
 /// Part of what is left in a record that is reserved at once: one in this many.
-const RESERVED_PART: u64 = 8;
+const RESERVATION_DIVISOR: u64 = 8;
 
 /// Tokens that one process has passed to callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Spent {
+pub struct ProcessUsage {
     /// The VM.
     pub vm: VmName,
     /// The start of its process.
@@ -39,13 +39,13 @@
     /// Tokens that all turns may generate.
     pub budget_tokens: u64,
     /// How long the row is kept after the last turn.
-    pub keep_us: u64,
+    pub retention_us: u64,
     /// When the row was last used.
-    pub used_us: u64,
+    pub last_used_us: u64,
     /// The line of turns that the program began with.
     pub main_line: Option<u64>,
     /// Tokens passed to callers, by process.
-    pub spent: SmallVec<[Spent; 2]>,
+    pub spent: SmallVec<[ProcessUsage; 2]>,
     /// The most that turns running on this VM without a reservation may generate.
     pub running_tokens: u64,
     /// Tokens reserved by this VM and not taken by a turn.
@@ -68,7 +68,7 @@
 
 /// How a turn is covered by its program's budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cover {
+pub enum Coverage {
     /// By the part that needs no record.
     Free,
     /// By tokens reserved in the store.
@@ -77,16 +77,16 @@
 
 /// What a budget says to one more turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum BudgetDecision {
     /// It is covered.
-    Covered(Cover),
+    Covered(Coverage),
     /// Tokens have to be reserved first.
     NeedsReservation {
         /// The least that helps.
         needed_tokens: u64,
     },
     /// The budget does not hold it.
-    UsedUp,
+    Exhausted,
 }
 
 impl Budget {
@@ -97,50 +97,50 @@
     }
 
     /// Returns whether a new record of the budget would have room for some tokens.
-    fn is_recordable(&self, turn_tokens: u64, needed_tokens: u64) -> bool {
-        let free = FreePart::of(self.budget_tokens, turn_tokens, self.losses);
+    fn fits_in_new_record(&self, turn_tokens: u64, needed_tokens: u64) -> bool {
+        let free = FreeAllowance::of(self.budget_tokens, turn_tokens, self.losses);
         free.unrecorded_tokens.saturating_add(needed_tokens) <= self.budget_tokens
     }
 
     /// Returns whether a turn of a line may go on the strength of what is known.
-    fn is_free(&self, line: Option<u64>, turn_tokens: u64) -> bool {
-        let free = FreePart::of(self.budget_tokens, turn_tokens, self.losses);
+    fn needs_no_reservation(&self, line: Option<u64>, turn_tokens: u64) -> bool {
+        let free = FreeAllowance::of(self.budget_tokens, turn_tokens, self.losses);
         let is_main = line == self.main_line;
         !self.has_record
             && free.is_usable
-            && (is_main || free.holds_agents)
+            && (is_main || free.allows_agents)
             && self.known_tokens() <= free.tokens
     }
 
     /// Covers one more turn, taking its tokens if there are enough.
-    pub fn cover(&mut self, line: Option<u64>, turn_tokens: u64) -> Verdict {
+    pub fn cover(&mut self, line: Option<u64>, turn_tokens: u64) -> BudgetDecision {
         let known = self.known_tokens();
         if self.is_stopped || turn_tokens > self.budget_tokens {
-            return Verdict::UsedUp;
+            return BudgetDecision::Exhausted;
         }
-        if self.is_free(line, turn_tokens) {
+        if self.needs_no_reservation(line, turn_tokens) {
             if known + turn_tokens > self.budget_tokens {
-                return Verdict::UsedUp;
+                return BudgetDecision::Exhausted;
             }
             self.running_tokens += turn_tokens;
-            return Verdict::Covered(Cover::Free);
+            return BudgetDecision::Covered(Coverage::Free);
         }
         if self.reserved_tokens < turn_tokens {
             let needed_tokens = turn_tokens - self.reserved_tokens;
-            if !self.has_record && !self.is_recordable(turn_tokens, needed_tokens) {
-                return Verdict::UsedUp;
+            if !self.has_record && !self.fits_in_new_record(turn_tokens, needed_tokens) {
+                return BudgetDecision::Exhausted;
             }
-            return Verdict::NeedsReservation { needed_tokens };
+            return BudgetDecision::NeedsReservation { needed_tokens };
         }
         self.reserved_tokens -= turn_tokens;
-        Verdict::Covered(Cover::Reserved)
+        BudgetDecision::Covered(Coverage::Reserved)
     }
 
     /// Takes note of the end of a turn on this VM.
-    pub fn settle(&mut self, cover: Cover, turn_tokens: u64, used_tokens: u64) {
+    pub fn settle(&mut self, cover: Coverage, turn_tokens: u64, used_tokens: u64) {
         match cover {
-            Cover::Free => self.running_tokens = self.running_tokens.saturating_sub(turn_tokens),
-            Cover::Reserved => self.reserved_tokens += turn_tokens.saturating_sub(used_tokens),
+            Coverage::Free => self.running_tokens = self.running_tokens.saturating_sub(turn_tokens),
+            Coverage::Reserved => self.reserved_tokens += turn_tokens.saturating_sub(used_tokens),
         }
     }
 
@@ -152,7 +152,7 @@
             .find(|row| row.vm == *vm && row.incarnation == incarnation);
         match known {
             Some(row) => row.tokens = row.tokens.max(tokens),
-            None => self.spent.push(Spent {
+            None => self.spent.push(ProcessUsage {
                 vm: vm.clone(),
                 incarnation,
                 tokens,
@@ -171,34 +171,39 @@
 
 /// The part of a budget that may be used without a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct FreePart {
+struct FreeAllowance {
     /// Whether there is one at all.
     is_usable: bool,
     /// Whether sub-agents may use it too.
     ///
     /// The turns of one line follow each other, so that few of them are unseen. Sub-agents start
     /// at once on several VMs, and only an ample budget holds as many unseen turns.
-    holds_agents: bool,
+    allows_agents: bool,
     /// Known tokens up to which another turn needs no reservation.
     tokens: u64,
     /// Tokens that may have been used without a record.
     unrecorded_tokens: u64,
 }
 
-impl FreePart {
+impl FreeAllowance {
     /// Works out the free part of a budget.
     fn of(budget_tokens: u64, turn_tokens: u64, losses: u32) -> Self {
         // A budget may be exceeded by one turn.
         let most_tokens = budget_tokens + turn_tokens;
-        let is_ample = budget_tokens >= AMPLE_TURNS * turn_tokens;
-        let parallel = Self::with_unseen(budget_tokens, turn_tokens, losses, UNSEEN_PARALLEL_TURNS);
+        let is_ample = budget_tokens >= MIN_TURNS_FOR_AGENTS * turn_tokens;
+        let parallel = Self::for_unseen_turns(
+            budget_tokens,
+            turn_tokens,
+            losses,
+            MAX_UNSEEN_PARALLEL_TURNS,
+        );
         if is_ample && parallel.unrecorded_tokens <= most_tokens {
             return Self {
-                holds_agents: true,
+                allows_agents: true,
                 ..parallel
             };
         }
-        let line = Self::with_unseen(budget_tokens, turn_tokens, losses, UNSEEN_TURNS);
+        let line = Self::for_unseen_turns(budget_tokens, turn_tokens, losses, MAX_UNSEEN_TURNS);
         Self {
             is_usable: line.unrecorded_tokens <= most_tokens,
             ..line
@@ -209,17 +214,22 @@
     /// less the one turn by which a budget may be exceeded.
     ///
     /// After a loss of memory, it may be used once more.
-    fn with_unseen(budget_tokens: u64, turn_tokens: u64, losses: u32, unseen_turns: u64) -> Self {
-        let tokens = budget_tokens / FREE_PART;
+    fn for_unseen_turns(
+        budget_tokens: u64,
+        turn_tokens: u64,
+        losses: u32,
+        unseen_turns: u64,
+    ) -> Self {
+        let tokens = budget_tokens / FREE_DIVISOR;
         let unseen_tokens = (unseen_turns - 1) * turn_tokens;
         let again_tokens = u64::from(losses).saturating_mul(tokens + turn_tokens);
         Self {
             is_usable: true,
-            holds_agents: false,
+            allows_agents: false,
             tokens,
             unrecorded_tokens: (tokens + unseen_tokens)
                 .saturating_add(again_tokens)
-                .max(budget_tokens / UNRECORDED_PART),
+                .max(budget_tokens / UNRECORDED_DIVISOR),
         }
     }
 }
@@ -263,7 +273,7 @@
         Self {
             program,
             budget_tokens,
-            taken_tokens: FreePart::of(budget_tokens, turn_tokens, losses)
+            taken_tokens: FreeAllowance::of(budget_tokens, turn_tokens, losses)
                 .unrecorded_tokens
                 .min(budget_tokens),
             is_stopped: false,
@@ -287,7 +297,7 @@
             self.is_stopped = true;
             return 0;
         }
-        let tokens = needed_tokens.max(left / RESERVED_PART);
+        let tokens = needed_tokens.max(left / RESERVATION_DIVISOR);
         self.taken_tokens += tokens;
         tokens
     }
--- a/crates/core/src/tables/call.rs
+++ b/crates/core/src/tables/call.rs
@@ -4,7 +4,7 @@
 
 use smallvec::SmallVec;
 
-use super::Cover;
+use super::Coverage;
 use crate::config::HostRoute;
 use crate::ids::{AccountName, AttemptId, PoolKey, ProgramKey, UpstreamName};
 use crate::input::{Continuation, NewCall};
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct Call {
     /// What the front end handed over.
-    pub new: NewCall,
+    pub request: NewCall,
     /// How far it has come.
     pub stage: Stage,
     /// When it arrived.
@@ -55,7 +55,7 @@
     /// Whether the home was ever asked to let the turn begin.
     pub has_asked_home: bool,
     /// When the call is refused unless the home has answered; 0 outside that stage.
-    pub home_give_up_us: u64,
+    pub home_deadline_us: u64,
     /// Time after which no attempt may start.
     pub valid_until_us: u64,
     /// Number of the last attempt; 0 before the first.
@@ -73,11 +73,11 @@
     /// Upstreams on which the call has failed.
     pub avoid: SmallVec<[UpstreamName; 2]>,
     /// Placement and retries.
-    pub place: PlaceState,
+    pub placement: PlacementState,
     /// Whether it begins a program, as far as this VM knows.
     pub begins_program: bool,
     /// What only relayed calls have.
-    pub relay: Option<Box<Relay>>,
+    pub relay: Option<Box<RelayState>>,
 }
 
 /// An attempt that has ended and ran or may have run.
@@ -95,7 +95,7 @@
 
 /// What only relayed calls have.
 #[derive(Debug, Clone)]
-pub struct Relay {
+pub struct RelayState {
     /// The route.
     pub route: Arc<HostRoute>,
     /// When the call has to be answered.
@@ -111,9 +111,9 @@
     /// The program's budget, if the call is a turn.
     pub budget_tokens: Option<u64>,
     /// How the budget covers the call.
-    pub cover: Option<Cover>,
+    pub cover: Option<Coverage>,
     /// Tokens passed to the caller.
-    pub passed_tokens: u64,
+    pub forwarded_tokens: u64,
     /// Upstreams on which the call may have run.
     pub ran_on: SmallVec<[UpstreamName; 2]>,
     /// The only upstream that may run the call again, unless it has ended.
@@ -122,7 +122,7 @@
 
 /// Placement and retries of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct PlaceState {
+pub struct PlacementState {
     /// Requests for an upstream without an answer.
     pub unanswered: u32,
     /// When the wait for an upstream ends.
@@ -134,7 +134,7 @@
     /// When its first token arrived; 0 before that.
     pub first_token_us: u64,
     /// Connections lost so far.
-    pub losses: u32,
+    pub lost_connections: u32,
     /// Attempts that failed in another way after they may have run.
     pub failures: u32,
     /// Crashes in which the content ran, as told by the owner of the pool.
@@ -145,13 +145,13 @@
     /// Returns the running or next attempt.
     pub fn attempt(&self) -> AttemptId {
         AttemptId {
-            call: self.new.id,
+            call: self.request.id,
             number: self.attempts,
         }
     }
 
     /// Describes how the present attempt ended.
-    pub fn run_ended(&self, answer_tokens: u64, outcome: ChargeOutcome) -> Option<LastRun> {
+    pub fn to_last_run(&self, answer_tokens: u64, outcome: ChargeOutcome) -> Option<LastRun> {
         Some(LastRun {
             attempt: self.attempt(),
             upstream: self.upstream.clone()?,
@@ -187,13 +187,15 @@
     }
 
     /// Returns the program, whether a home keeps it or not.
-    pub fn any_program(&self) -> Option<&ProgramKey> {
+    pub fn program_key(&self) -> Option<&ProgramKey> {
         let relayed = || self.relay.as_ref()?.program.as_ref();
         self.program.as_ref().or_else(relayed)
     }
 
     /// Returns the highest number of tokens that the call can use.
-    pub fn reserve_tokens(&self) -> u64 {
-        self.new.prompt_tokens.saturating_add(self.new.max_tokens)
+    pub fn max_total_tokens(&self) -> u64 {
+        self.request
+            .prompt_tokens
+            .saturating_add(self.request.max_tokens)
     }
 }
--- a/crates/core/src/tables/footprint.rs
+++ b/crates/core/src/tables/footprint.rs
@@ -6,55 +6,60 @@
 
 /// Largest part of a hint that counts, in percent: an engine may evict a
 /// prefix at any time and reports it late.
-const MAX_TRUST_PERCENT: u64 = 95;
+const MAX_HINT_ACCURACY_PERCENT: u64 = 95;
 
 /// What the owner of a pool remembers about a program.
 #[derive(Debug, Clone, Default)]
-pub struct Footprint {
+pub struct PlacementHistory {
     /// Tokens of all calls of the program and its sub-agents; kept at the root.
     pub attained_tokens: u64,
     /// When the program last had a call.
-    pub used_us: u64,
+    pub last_used_us: u64,
     /// Upstreams that may hold the program's prefix, the last one first.
-    pub hints: SmallVec<[Hint; 2]>,
+    pub hints: SmallVec<[CacheHint; 2]>,
 }
 
 /// An upstream that may hold a prefix of a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Hint {
+pub struct CacheHint {
     /// The upstream.
     pub upstream: UpstreamName,
     /// Length of the prefix when the last call there ended.
     pub tokens: u64,
     /// When that was.
-    pub at_us: u64,
+    pub ended_us: u64,
 }
 
-impl Footprint {
+impl PlacementHistory {
     /// Notes the upstream that ran the last call.
-    pub fn note(&mut self, hint: Hint) {
+    pub fn record_hint(&mut self, hint: CacheHint) {
         self.hints.retain(|old| old.upstream != hint.upstream);
         self.hints.insert(0, hint);
         self.hints.truncate(2);
     }
 }
 
-impl Hint {
+impl CacheHint {
     /// Estimates the cached tokens, halving with each half-life.
     ///
     /// # Examples
     ///
     /// ```
     /// use knapweeddale_core::UpstreamName;
-    /// use knapweeddale_core::tables::Hint;
+    /// use knapweeddale_core::tables::CacheHint;
     ///
-    /// let hint = Hint { upstream: UpstreamName::from("e"), tokens: 1_000, at_us: 0 };
-    /// assert_eq!(hint.expected_tokens(0, 60_000_000, 100), 950);
-    /// assert_eq!(hint.expected_tokens(60_000_000, 60_000_000, 100), 475);
+    /// let hint = CacheHint { upstream: UpstreamName::from("e"), tokens: 1_000, ended_us: 0 };
+    /// assert_eq!(hint.expected_cached_tokens(0, 60_000_000, 100), 950);
+    /// assert_eq!(hint.expected_cached_tokens(60_000_000, 60_000_000, 100), 475);
     /// ```
-    pub fn expected_tokens(&self, now_us: u64, half_life_us: u64, trust_percent: u64) -> u64 {
-        let trusted = self.tokens * trust_percent.min(MAX_TRUST_PERCENT) / 100;
-        let age_us = now_us.saturating_sub(self.at_us);
+    pub fn expected_cached_tokens(
+        &self,
+        now_us: u64,
+        half_life_us: u64,
+        trust_percent: u64,
+    ) -> u64 {
+        let trusted = self.tokens * trust_percent.min(MAX_HINT_ACCURACY_PERCENT) / 100;
+        let age_us = now_us.saturating_sub(self.ended_us);
         let half_life_us = half_life_us.max(1);
         let halvings = age_us / half_life_us;
         if halvings >= 32 {
--- a/crates/core/src/tables/homes.rs
+++ b/crates/core/src/tables/homes.rs
@@ -16,27 +16,27 @@
     /// The view that the programs were last sorted by.
     pub view: View,
     /// Earlier views, newest first, to tell who was the home of a program.
-    pub past: VecDeque<View>,
+    pub view_history: VecDeque<View>,
     /// VMs that have handed over their programs.
-    pub handed_over: Table<VmName, HandedOver>,
+    pub hand_overs: Table<VmName, HandOverProgress>,
     /// Programs started here since the start of the process.
     pub started_programs: u64,
     /// Permits issued here since the start of the process.
     pub issued_permits: u64,
     /// As home: the last states of programs that are over.
-    pub over: Table<ProgramKey, Tombstone>,
+    pub tombstones: Table<ProgramKey, Tombstone>,
     /// As home: calls that wait for a turn.
-    pub waits: Table<CallId, Wait>,
+    pub waits: Table<CallId, WaitingCall>,
     /// As home: requests to end a program that were carried out.
-    pub ended: Table<CallId, ()>,
+    pub ended_requests: Table<CallId, ()>,
     /// As home: releases of engine memory that are not confirmed.
     pub releases: Table<Release, u32>,
     /// As entry VM: the last state of the programs that it served.
-    pub witnesses: Table<ProgramKey, KeptWitness>,
+    pub witnesses: Table<ProgramKey, WitnessRecord>,
     /// As entry VM: ends of turns that the home has not confirmed.
-    pub settles: Table<CallId, PendingSettle>,
+    pub pending_settles: Table<CallId, PendingSettle>,
     /// As entry VM: requests of callers that the home has not answered.
-    pub requests: Table<CallId, ProgramAsk>,
+    pub requests: Table<CallId, PendingProgramRequest>,
     /// State of programs on its way to their new homes.
     pub transfers: Table<u64, Transfer>,
     /// The number of the next transfer.
@@ -45,13 +45,13 @@
 
 /// What a VM has handed over because of one view.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct HandedOver {
+pub struct HandOverProgress {
     /// The epoch of the view that moved the programs.
     pub epoch: Epoch,
     /// Messages that have arrived.
     pub received: SmallVec<[u64; 1]>,
     /// From when this VM may act for the programs, once all messages have arrived.
-    pub from_us: Option<u64>,
+    pub effective_us: Option<u64>,
 }
 
 /// The last state of a program that is over.
@@ -69,7 +69,7 @@
 
 /// A call that waits at the home for a turn.
 #[derive(Debug, Clone)]
-pub struct Wait {
+pub struct WaitingCall {
     /// The entry VM of the call.
     pub vm: VmName,
     /// The request.
@@ -95,11 +95,11 @@
 
 /// The last state of a program that this VM served as entry VM.
 #[derive(Debug, Clone)]
-pub struct KeptWitness {
+pub struct WitnessRecord {
     /// The state as the home last told it.
     pub witness: Witness,
     /// When that was.
-    pub seen_us: u64,
+    pub last_seen_us: u64,
 }
 
 /// The end of a turn that the home has not confirmed.
@@ -115,7 +115,7 @@
 
 /// A request of a caller that the home has not answered.
 #[derive(Debug, Clone)]
-pub struct ProgramAsk {
+pub struct PendingProgramRequest {
     /// The program.
     pub program: ProgramKey,
     /// The message.
@@ -123,7 +123,7 @@
     /// How often it was sent.
     pub tries: u32,
     /// When the caller is refused.
-    pub give_up_us: u64,
+    pub deadline_us: u64,
 }
 
 /// State of programs on its way to their new home.
--- a/crates/core/src/tables/limit.rs
+++ b/crates/core/src/tables/limit.rs
@@ -8,7 +8,7 @@
 const SETTLE_US: u64 = 1_000_000;
 
 /// Time after a decrease until attempts that started before it have ended.
-const SLOWED_US: u64 = 5_000_000;
+const DECREASE_COOLDOWN_US: u64 = 5_000_000;
 
 /// Time at a limit that could not be raised.
 const HOLD_US: u64 = 20_000_000;
@@ -33,7 +33,7 @@
 /// by at least a quarter of its own growth; it falls when the time between
 /// tokens exceeds its target. It settles near the knee of the batch curve.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     /// The present limit.
     pub calls: u32,
     /// Lowest limit.
@@ -43,14 +43,14 @@
     /// Mean time between two tokens.
     pub token_us: u64,
     /// The limit and token rate before the last increase.
-    before: Option<(u32, u64)>,
+    previous: Option<(u32, u64)>,
     rate_sum: u64,
     reports: u32,
-    counts_from_us: u64,
-    slowed_us: u64,
+    reports_from_us: u64,
+    decreased_us: u64,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Makes a limit in the middle of its range.
     pub fn new(min: u32, max: u32) -> Self {
         let mut limit = Self::default();
@@ -67,14 +67,14 @@
     }
 
     /// Learns from a load report; returns why the limit changed, if it did.
-    pub fn report(
+    pub fn record_load(
         &mut self,
         now_us: u64,
         running_calls: u32,
         tokens_per_s: u64,
     ) -> Option<LimitReason> {
         // The token rate says something about the limit only while it binds.
-        if running_calls < self.calls || now_us < self.counts_from_us {
+        if running_calls < self.calls || now_us < self.reports_from_us {
             return None;
         }
         self.rate_sum += tokens_per_s;
@@ -87,9 +87,14 @@
     }
 
     /// Learns from the time between tokens of a finished attempt.
-    pub fn finished(&mut self, now_us: u64, token_us: u64, target_us: u64) -> Option<LimitReason> {
+    pub fn record_token_time(
+        &mut self,
+        now_us: u64,
+        token_us: u64,
+        target_us: u64,
+    ) -> Option<LimitReason> {
         // Attempts that ran under the limit before a decrease say nothing about the present one.
-        if now_us < self.slowed_us + SLOWED_US {
+        if now_us < self.decreased_us + DECREASE_COOLDOWN_US {
             return None;
         }
         self.token_us = if self.token_us == 0 {
@@ -100,38 +105,38 @@
         if self.token_us <= target_us || self.calls == self.min {
             return None;
         }
-        self.slowed_us = now_us;
+        self.decreased_us = now_us;
         self.token_us = target_us;
-        self.before = None;
-        self.change(now_us, self.calls - self.calls.div_ceil(10));
-        self.counts_from_us = now_us + HOLD_US;
+        self.previous = None;
+        self.set_calls(now_us, self.calls - self.calls.div_ceil(10));
+        self.reports_from_us = now_us + HOLD_US;
         Some(LimitReason::SlowTokens)
     }
 
     /// Raises the limit if the last increase raised the token rate.
     fn step(&mut self, now_us: u64, rate: u64) -> Option<LimitReason> {
-        if let Some((calls, rate_before)) = self.before.take() {
+        if let Some((calls, rate_before)) = self.previous.take() {
             let growth_permille =
                 1_000 * u64::from(self.calls.saturating_sub(calls)) / u64::from(calls.max(1));
             if rate * 1_000 < rate_before * (1_000 + growth_permille / 4) {
-                self.change(now_us, calls);
-                self.counts_from_us = now_us + HOLD_US;
+                self.set_calls(now_us, calls);
+                self.reports_from_us = now_us + HOLD_US;
                 return Some(LimitReason::RateFlat);
             }
         }
-        self.before = Some((self.calls, rate));
-        let raised = self.change(now_us, self.calls + self.calls.div_ceil(8));
+        self.previous = Some((self.calls, rate));
+        let raised = self.set_calls(now_us, self.calls + self.calls.div_ceil(8));
         raised.then_some(LimitReason::RateGrows)
     }
 
     /// Sets the limit within its range and starts counting anew.
-    fn change(&mut self, now_us: u64, calls: u32) -> bool {
+    fn set_calls(&mut self, now_us: u64, calls: u32) -> bool {
         let calls = calls.clamp(self.min, self.max);
         let is_changed = calls != self.calls;
         self.calls = calls;
         self.rate_sum = 0;
         self.reports = 0;
-        self.counts_from_us = now_us + SETTLE_US;
+        self.reports_from_us = now_us + SETTLE_US;
         is_changed
     }
 }
--- a/crates/core/src/tables/loan.rs
+++ b/crates/core/src/tables/loan.rs
@@ -13,14 +13,14 @@
 
 /// A rate and a burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Limits {
+pub struct RateLimit {
     /// The rate.
     pub rate_mcalls_per_s: u64,
     /// The burst.
     pub burst_ncalls: u64,
 }
 
-impl Limits {
+impl RateLimit {
     /// Adds another rate and burst.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
@@ -76,9 +76,9 @@
     /// The last grant.
     pub grant_seq: u64,
     /// What the last grant says.
-    pub granted: Limits,
+    pub granted: RateLimit,
     /// Grants by number, from the last one that the holder confirmed to the last one.
-    pub open_grants: SmallVec<[(u64, Limits); 2]>,
+    pub open_grants: SmallVec<[(u64, RateLimit); 2]>,
     /// All calls that moved to the holder.
     pub moved_ncalls: u64,
     /// All calls that the holder has confirmed.
@@ -113,7 +113,7 @@
             demand_arrived_us: 0,
             expires_us: 0,
             grant_seq: 0,
-            granted: Limits::default(),
+            granted: RateLimit::default(),
             open_grants: SmallVec::new(),
             moved_ncalls: 0,
             received_ncalls: 0,
@@ -129,8 +129,14 @@
     }
 
     /// Grants other limits, moves calls to the holder and asks calls back.
-    pub fn grant(&mut self, limits: Limits, moved_ncalls: u64, recalled_ncalls: u64, now_us: u64) {
-        let level_ncalls = self.level_at_ncalls(now_us);
+    pub fn grant(
+        &mut self,
+        limits: RateLimit,
+        moved_ncalls: u64,
+        recalled_ncalls: u64,
+        now_us: u64,
+    ) {
+        let level_ncalls = self.estimate_level_ncalls(now_us);
         self.granted = limits;
         self.grant_seq += 1;
         self.open_grants.push((self.grant_seq, limits));
@@ -155,17 +161,17 @@
     ///
     /// Before it applies the last grant, its bucket may be full under an
     /// earlier one when the calls that are on their way arrive.
-    pub fn counted(&self) -> Limits {
+    pub fn upper_bound(&self) -> RateLimit {
         let moving_ncalls = self.moved_ncalls - self.received_ncalls;
         let limits = self.open_grants.iter().map(|(_, limits)| *limits);
-        let most = limits.fold(Limits::default(), Limits::higher);
+        let most = limits.fold(RateLimit::default(), RateLimit::higher);
         let earlier = self
             .open_grants
             .split_last()
             .map_or(&[][..], |(_, rest)| rest);
         let earlier = earlier.iter().map(|(_, limits)| *limits);
-        let earlier = earlier.fold(Limits::default(), Limits::higher);
-        Limits {
+        let earlier = earlier.fold(RateLimit::default(), RateLimit::higher);
+        RateLimit {
             rate_mcalls_per_s: most.rate_mcalls_per_s,
             burst_ncalls: most.burst_ncalls.max(earlier.burst_ncalls + moving_ncalls),
         }
@@ -177,9 +183,9 @@
     }
 
     /// Estimates the calls in the holder's bucket.
-    pub fn level_at_ncalls(&self, now_us: u64) -> u64 {
+    pub fn estimate_level_ncalls(&self, now_us: u64) -> u64 {
         let elapsed_us = now_us.saturating_sub(self.reported_us);
-        let grown_ncalls = self.spare_mcalls_per_s().saturating_mul(elapsed_us);
+        let grown_ncalls = self.estimate_fill_mcalls_per_s().saturating_mul(elapsed_us);
         let level_ncalls = self.level_ncalls.saturating_add(grown_ncalls);
         level_ncalls.min(self.granted.burst_ncalls.max(self.level_ncalls))
     }
@@ -188,7 +194,7 @@
     ///
     /// A holder whose bucket runs out says so at once; until then, it is
     /// assumed to use at most half of its rate.
-    fn spare_mcalls_per_s(&self) -> u64 {
+    fn estimate_fill_mcalls_per_s(&self) -> u64 {
         if self.waiting_calls > 0 {
             return 0;
         }
@@ -201,12 +207,12 @@
     ///
     /// This time does not change between reports, so the order can be kept.
     fn filling_since_us(&self) -> u64 {
-        let filled_us = self.level_ncalls / self.spare_mcalls_per_s().max(1);
+        let filled_us = self.level_ncalls / self.estimate_fill_mcalls_per_s().max(1);
         self.reported_us.saturating_sub(filled_us)
     }
 
     /// Orders holders by how well they are served compared with their weight.
-    fn service(&self) -> u64 {
+    fn service_level(&self) -> u64 {
         // 1,024 keeps ten bits of the fraction.
         self.granted.rate_mcalls_per_s.saturating_mul(1_024) / self.weight.max(1)
     }
@@ -216,7 +222,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Takeover {
     /// What live holders and the earlier owner have reported.
-    pub known: Limits,
+    pub known_limits: RateLimit,
     /// When all grants of earlier owners have ended.
     pub until_us: u64,
     /// Shares that were adopted.
@@ -227,19 +233,19 @@
 
 /// A client account that this VM owns.
 #[derive(Debug, Clone, Default)]
-pub struct Lending {
+pub struct OwnedAccount {
     /// What may be lent: the published limits, or during a takeover what is known to be free.
-    pub limits: Limits,
+    pub limits: RateLimit,
     /// What is not lent, with the calls that have gathered there.
     pub reserve: Bucket,
     /// What is lent, including grants that are on their way.
-    pub lent: Limits,
+    pub lent: RateLimit,
     /// The weights of all holders.
     pub weight: u64,
     /// Loans by holder.
     pub loans: Table<Holder, Loan>,
     /// Holders by how well they are served; the last has most for its weight.
-    pub by_service: BTreeSet<(u64, Holder)>,
+    pub by_service_level: BTreeSet<(u64, Holder)>,
     /// Holders by the time since which their buckets fill; the first has most to give.
     pub by_filling: BTreeSet<(u64, Holder)>,
     /// Holders that need calls, in the order of their demands.
@@ -251,20 +257,20 @@
 }
 
 /// # Changes
-impl Lending {
+impl OwnedAccount {
     /// Inserts a loan.
     pub fn insert(&mut self, holder: &Holder, loan: Loan, now_us: u64) {
         self.remove(holder, now_us);
-        self.add(holder, &loan);
+        self.add_to_totals(holder, &loan);
         self.loans.insert(holder.clone(), loan);
-        self.settle(now_us);
+        self.update_reserve(now_us);
     }
 
     /// Removes a loan; what was lent is free again.
     pub fn remove(&mut self, holder: &Holder, now_us: u64) -> Option<Loan> {
         let loan = self.loans.remove(holder)?;
-        self.subtract(holder, &loan);
-        self.settle(now_us);
+        self.subtract_from_totals(holder, &loan);
+        self.update_reserve(now_us);
         Some(loan)
     }
 
@@ -273,17 +279,17 @@
         let Some(mut loan) = self.loans.get(holder).cloned() else {
             return;
         };
-        self.subtract(holder, &loan);
+        self.subtract_from_totals(holder, &loan);
         change(&mut loan);
-        self.add(holder, &loan);
+        self.add_to_totals(holder, &loan);
         self.loans.insert(holder.clone(), loan);
-        self.settle(now_us);
+        self.update_reserve(now_us);
     }
 
     /// Sets what may be lent.
-    pub fn set_limits(&mut self, limits: Limits, now_us: u64) {
+    pub fn set_limits(&mut self, limits: RateLimit, now_us: u64) {
         self.limits = limits;
-        self.settle(now_us);
+        self.update_reserve(now_us);
     }
 
     /// Adds calls that came back, up to the burst that is not lent.
@@ -301,7 +307,7 @@
     }
 
     /// Works out what is not lent; the time before counts at the old rate.
-    fn settle(&mut self, now_us: u64) {
+    fn update_reserve(&mut self, now_us: u64) {
         let (limits, lent) = (self.limits, self.lent);
         let reserve = &mut self.reserve;
         reserve.refill(now_us);
@@ -313,23 +319,25 @@
     }
 
     /// Adds a loan to totals and orders.
-    fn add(&mut self, holder: &Holder, loan: &Loan) {
-        let counted = loan.counted();
+    fn add_to_totals(&mut self, holder: &Holder, loan: &Loan) {
+        let counted = loan.upper_bound();
         self.lent.rate_mcalls_per_s += counted.rate_mcalls_per_s;
         self.lent.burst_ncalls += counted.burst_ncalls;
         self.weight += loan.weight;
-        self.by_service.insert((loan.service(), holder.clone()));
+        self.by_service_level
+            .insert((loan.service_level(), holder.clone()));
         let filling = (loan.filling_since_us(), holder.clone());
         self.by_filling.insert(filling);
     }
 
     /// Removes a loan from totals and orders.
-    fn subtract(&mut self, holder: &Holder, loan: &Loan) {
-        let counted = loan.counted();
+    fn subtract_from_totals(&mut self, holder: &Holder, loan: &Loan) {
+        let counted = loan.upper_bound();
         self.lent.rate_mcalls_per_s -= counted.rate_mcalls_per_s;
         self.lent.burst_ncalls -= counted.burst_ncalls;
         self.weight -= loan.weight;
-        self.by_service.remove(&(loan.service(), holder.clone()));
+        self.by_service_level
+            .remove(&(loan.service_level(), holder.clone()));
         let filling = (loan.filling_since_us(), holder.clone());
         self.by_filling.remove(&filling);
     }
