--- a/crates/core/src/tables/membership.rs
+++ b/crates/core/src/tables/membership.rs
@@ -21,11 +21,11 @@
     /// Members that were removed lately.
     pub departed: Table<VmName, Departed>,
     /// The VMs that this one exchanges heartbeats with.
-    pub peers: Peers,
+    pub peers: HeartbeatPeers,
     /// The number of the last round of heartbeats.
     pub round: u64,
     /// Latest rounds of heartbeats with the time at which each was sent.
-    pub rounds: VecDeque<(u64, u64)>,
+    pub sent_rounds: VecDeque<(u64, u64)>,
     /// Promises of writers, with the time from which each counts.
     pub promises: SmallVec<[(VmName, u64); 2]>,
     /// Until when this VM, as a writer, writes no view.
@@ -33,27 +33,27 @@
     /// Exchange with the store.
     pub store: StoreLink,
     /// VMs that asked to be members, with the time at which they last did.
-    pub joins: BTreeMap<VmName, (Member, u64)>,
+    pub join_requests: BTreeMap<VmName, (Member, u64)>,
     /// Members that said that they are leaving.
     pub leaving: BTreeMap<VmName, Incarnation>,
     /// VMs that said that they have handed everything over.
     pub left: BTreeMap<VmName, Incarnation>,
     /// Reports of silent members.
-    pub suspects: BTreeMap<VmName, Suspicion>,
+    pub suspicions: BTreeMap<VmName, Suspicion>,
     /// Since when a change of the view has been wanted.
-    pub change_wanted_us: Option<u64>,
+    pub change_wanted_since_us: Option<u64>,
     /// The platform's list of VMs.
     pub platform: PlatformList,
     /// Since when all writers have been missing from the platform's list.
-    pub writers_gone_us: Option<u64>,
+    pub writers_missing_since_us: Option<u64>,
     /// The epoch that was last asked for, and when.
-    pub view_asked: Option<(Epoch, u64)>,
+    pub view_requested: Option<(Epoch, u64)>,
     /// When this VM last asked to be a member.
     pub join_sent_us: Option<u64>,
     /// When this VM last looked for silent members.
-    pub watched_us: Option<u64>,
+    pub last_silence_check_us: Option<u64>,
     /// When rows of the past were last forgotten.
-    pub forgotten_us: Option<u64>,
+    pub last_expiry_us: Option<u64>,
     /// The departure of this VM.
     pub departure: Departure,
 }
@@ -82,7 +82,7 @@
 
 /// The VMs that this one exchanges heartbeats with.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Peers {
+pub struct HeartbeatPeers {
     /// VMs that confirmations are asked from.
     pub parents: Vec<VmName>,
     /// VMs that watch this one.
@@ -112,14 +112,14 @@
     /// VMs that the list calls leaving.
     pub leaving: BTreeSet<VmName>,
     /// VMs that have been on the list and are no longer.
-    pub gone: BTreeSet<VmName>,
+    pub delisted: BTreeSet<VmName>,
 }
 
 /// Exchange with the store, one request at a time.
 #[derive(Debug, Clone, Default)]
 pub struct StoreLink {
     /// The request that is not answered yet.
-    pub pending: Option<PendingRequest>,
+    pub pending: Option<PendingStoreRequest>,
     /// A view that was sent to the store and may have been written.
     pub unresolved: Option<UnresolvedWrite>,
     /// Requests in a row that were not answered.
@@ -135,9 +135,9 @@
     /// Whether the store holds no view.
     pub is_absent: bool,
     /// Reads in a row by which a VM that is cut off found nothing new.
-    pub lonely_reads: u32,
+    pub isolated_reads: u32,
     /// When a VM that is cut off reads again.
-    pub lonely_until_us: u64,
+    pub next_isolated_read_us: u64,
     /// When the store last answered.
     pub answered_us: Option<u64>,
     /// When the last update that succeeded was sent.
@@ -152,9 +152,9 @@
 
 /// A request to the store that is not answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PendingRequest {
+pub struct PendingStoreRequest {
     /// What was asked.
-    pub kind: RequestKind,
+    pub kind: StoreRequestKind,
     /// When it was sent.
     pub sent_us: u64,
 }
@@ -170,7 +170,7 @@
 
 /// What is asked of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestKind {
+pub enum StoreRequestKind {
     /// Read the view.
     Read,
     /// Write the next view.
--- a/crates/core/src/tables/mod.rs
+++ b/crates/core/src/tables/mod.rs
@@ -32,35 +32,36 @@
 
 pub use account::{Account, Key};
 pub use bucket::{Bucket, NCALLS_PER_CALL};
-pub use budget::{Budget, BudgetRecord, Cover, Spent, Verdict};
-pub use call::{Call, LastRun, PlaceState, Relay, Stage};
-pub use footprint::{Footprint, Hint};
+pub use budget::{Budget, BudgetDecision, BudgetRecord, Coverage, ProcessUsage};
+pub use call::{Call, LastRun, PlacementState, RelayState, Stage};
+pub use footprint::{CacheHint, PlacementHistory};
 pub use health::{Health, LostAttempt};
 pub use homes::{
-    HandedOver, Homes, KeptWitness, PendingSettle, ProgramAsk, Release, Tombstone, Transfer, Wait,
+    HandOverProgress, Homes, PendingProgramRequest, PendingSettle, Release, Tombstone, Transfer,
+    WaitingCall, WitnessRecord,
 };
 pub use lease::Lease;
-pub use limit::{Limit, LimitReason};
-pub use loan::{Holder, Lending, Limits, Loan, Ownership, Takeover};
+pub use limit::{ConcurrencyLimit, LimitReason};
+pub use loan::{Holder, Loan, OwnedAccount, Ownership, RateLimit, Takeover};
 pub use membership::{
-    Departed, Departure, Membership, PastView, Peers, PendingRequest, PlatformList, RequestKind,
-    StoreLink, Suspicion, UnresolvedWrite,
+    Departed, Departure, HeartbeatPeers, Membership, PastView, PendingStoreRequest, PlatformList,
+    StoreLink, StoreRequestKind, Suspicion, UnresolvedWrite,
 };
-pub use order::{OpenOrder, OrderBook};
+pub use order::{PendingOrder, ServiceOrders};
 pub use peer::{Peer, Peering};
 pub use pool::Pool;
 pub use program::{FinishedTurn, Links, MAX_SERVED, Phase, Program, Turn, UnknownTurn, Usage};
-pub use queue::{Candidates, LaneOrder, Queue, Rank, Waiting};
+pub use queue::{Candidates, LaneOrder, Queue, QueuedCall, Rank};
 pub use retry::RetryBudget;
-pub use share::{Held, Meter, Pooled, Share};
-pub use source::{Knowledge, Reading, Source};
+pub use share::{HeldGrant, Meter, ReplicatedBucket, Share};
+pub use source::{ProgramKnowledge, ReadState, Source};
 pub use suspect::{Quarantine, Suspect};
 pub use table::Table;
 pub use timers::{Timer, Timers};
-pub use upstream::{Running, Upstream};
+pub use upstream::{RunningAttempt, Upstream};
 pub(crate) use view::hash_name;
 pub use view::{Member, View, ViewChange, ViewDelta};
-pub use vm::{Asked, Vm};
+pub use vm::{HeartbeatRequest, Vm};
 
 use std::sync::Arc;
 
@@ -79,13 +80,13 @@
     /// The newest revision that this VM has heard of.
     pub newest_revision: Revision,
     /// The revision that was last asked for, and when.
-    pub config_asked: Option<(Revision, u64)>,
+    pub config_requested: Option<(Revision, u64)>,
     /// Client accounts.
     pub accounts: Table<AccountName, Account>,
     /// What this VM may spend of client accounts.
     pub shares: Table<AccountName, Share>,
     /// Client accounts that this VM owns.
-    pub loans: Table<AccountName, Lending>,
+    pub owned_accounts: Table<AccountName, OwnedAccount>,
     /// The owner's side of the rates beside its rows.
     pub ownership: Ownership,
     /// Callers' keys.
@@ -99,7 +100,7 @@
     /// Upstreams.
     pub upstreams: Table<UpstreamName, Upstream>,
     /// Orders to the engines of services whose orders this VM gives.
-    pub orders: Table<ServiceName, OrderBook>,
+    pub orders: Table<ServiceName, ServiceOrders>,
     /// Programs whose home is this VM.
     pub programs: Table<ProgramKey, Program>,
     /// What this VM keeps as home and as entry VM besides programs and calls.
@@ -107,11 +108,11 @@
     /// Calls that arrived at this VM.
     pub calls: Table<CallId, Call>,
     /// Attempts placed by this VM as owner of their pool.
-    pub running: Table<AttemptId, Running>,
+    pub running: Table<AttemptId, RunningAttempt>,
     /// Ended attempts whose end the owner of their pool has not confirmed.
     pub finishing: Table<AttemptId, Finish>,
     /// What this VM, as owner of pools, remembers about programs.
-    pub footprints: Table<ProgramKey, Footprint>,
+    pub placement_histories: Table<ProgramKey, PlacementHistory>,
     /// Contents that were running when an upstream crashed.
     pub suspects: Table<ContentDigest, Suspect>,
     /// Contents that no VM runs.
@@ -119,7 +120,7 @@
     /// The view in force.
     pub view: View,
     /// The epoch of the view that placement has acted on.
-    pub placed_epoch: Epoch,
+    pub placement_epoch: Epoch,
     /// The version of the view object in the store; 0 if unknown.
     pub view_version: u64,
     /// What this VM knows of others that it has heard from.
--- a/crates/core/src/tables/order.rs
+++ b/crates/core/src/tables/order.rs
@@ -6,18 +6,18 @@
 
 /// Orders to the engines of a service, kept by the owner of the orders.
 #[derive(Debug, Default)]
-pub struct OrderBook {
+pub struct ServiceOrders {
     /// The number of the last order.
     pub seq: u64,
     /// Loads that the weight store still allows.
     pub loads: Bucket,
     /// Orders without an answer.
-    pub open: Table<UpstreamName, OpenOrder>,
+    pub open: Table<UpstreamName, PendingOrder>,
 }
 
 /// An order without an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OpenOrder {
+pub struct PendingOrder {
     /// Its fencing token.
     pub token: FencingToken,
     /// What the engine was told to do.
--- a/crates/core/src/tables/peer.rs
+++ b/crates/core/src/tables/peer.rs
@@ -8,7 +8,7 @@
 use crate::message::ListStamp;
 
 /// Rounds of summaries whose time is remembered.
-const KEPT_ROUNDS: usize = 64;
+const MAX_SENT_ROUNDS: usize = 64;
 
 /// Another VM.
 #[derive(Debug, Clone)]
@@ -20,9 +20,9 @@
     /// When it became known.
     pub known_us: u64,
     /// When its last summary arrived; `None` if none has.
-    pub heard_us: Option<u64>,
+    pub last_heard_us: Option<u64>,
     /// Whether it counts as one that shares the rates of accounts.
-    pub is_heard: bool,
+    pub is_reachable: bool,
     /// Its last summary.
     pub round: u64,
     /// The last summary of this VM that it has confirmed.
@@ -48,8 +48,8 @@
             incarnation: None,
             address: Arc::from(address),
             known_us: now_us,
-            heard_us: None,
-            is_heard: false,
+            last_heard_us: None,
+            is_reachable: false,
             round: 0,
             acked_round: 0,
             is_leaving: false,
@@ -62,8 +62,8 @@
     }
 
     /// Returns when it was last heard, or when it became known.
-    pub fn last_us(&self) -> u64 {
-        self.heard_us.unwrap_or(self.known_us)
+    pub fn last_contact_us(&self) -> u64 {
+        self.last_heard_us.unwrap_or(self.known_us)
     }
 }
 
@@ -75,17 +75,17 @@
     /// The last round of summaries that was sent.
     pub round: u64,
     /// When the last rounds were sent.
-    sent: VecDeque<(u64, u64)>,
+    sent_rounds: VecDeque<(u64, u64)>,
     /// Calls that this VM has admitted, with the round that tells of the last change.
     pub admitted: Table<AccountName, (u64, u64)>,
     /// VMs that share the rates of accounts with this one, itself included.
-    pub heard_vms: u64,
+    pub reachable_vms: u64,
     /// VMs that may be serving, this one included.
     pub known_vms: u64,
     /// The position of this VM among those that are heard, by name.
     pub rank: u64,
     /// When a snapshot was last asked for; `None` if none is under way.
-    pub asked_snapshot_us: Option<u64>,
+    pub snapshot_requested_us: Option<u64>,
 }
 
 impl Peering {
@@ -97,17 +97,19 @@
     /// Starts a round.
     pub fn start_round(&mut self, now_us: u64) -> u64 {
         self.round += 1;
-        self.sent.push_back((self.round, now_us));
-        if self.sent.len() > KEPT_ROUNDS {
-            self.sent.pop_front();
+        self.sent_rounds.push_back((self.round, now_us));
+        if self.sent_rounds.len() > MAX_SENT_ROUNDS {
+            self.sent_rounds.pop_front();
         }
         self.round
     }
 
     /// Returns when a round was sent.
     pub fn sent_us(&self, round: u64) -> Option<u64> {
-        let at = self.sent.binary_search_by_key(&round, |(round, _)| *round);
-        at.ok().map(|at| self.sent[at].1)
+        let at = self
+            .sent_rounds
+            .binary_search_by_key(&round, |(round, _)| *round);
+        at.ok().map(|at| self.sent_rounds[at].1)
     }
 
     /// Counts an admitted call.
@@ -126,8 +128,8 @@
     }
 
     /// Returns the part of an account's rate that the heard VMs may use, as a fraction.
-    pub fn part(&self) -> (u64, u64) {
+    pub fn usable_fraction(&self) -> (u64, u64) {
         let known = self.known_vms.max(1);
-        (self.heard_vms.clamp(1, known), known)
+        (self.reachable_vms.clamp(1, known), known)
     }
 }
--- a/crates/core/src/tables/pool.rs
+++ b/crates/core/src/tables/pool.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::{Queue, RetryBudget, Waiting};
+use super::{Queue, QueuedCall, RetryBudget};
 use crate::ids::{AttemptId, ContentDigest, UpstreamName};
 
 /// The upstreams of one service and model, with their queue.
@@ -11,37 +11,37 @@
     /// The upstreams that can run its calls.
     pub upstreams: Vec<UpstreamName>,
     /// Upstreams with room for a call, by load in thousandths of their limit.
-    pub open: BTreeSet<(u64, UpstreamName)>,
+    pub available: BTreeSet<(u64, UpstreamName)>,
     /// Upstreams that are excluded for their failures.
     pub ejected: BTreeSet<UpstreamName>,
     /// Calls that wait for an upstream.
     pub queue: Queue,
     /// Calls whose content was in a crash, while a copy runs or the crash is examined.
-    pub held: BTreeMap<ContentDigest, VecDeque<Waiting>>,
+    pub held: BTreeMap<ContentDigest, VecDeque<QueuedCall>>,
     /// Calls whose content was in two crashes; they run alone on an upstream.
-    pub alone: VecDeque<Waiting>,
+    pub alone: VecDeque<QueuedCall>,
     /// Upstreams kept free for a call that runs alone.
     pub reserved: BTreeSet<UpstreamName>,
     /// What retries the calls of this VM may still use.
-    pub retries: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Mean tokens of a response.
-    pub answer_tokens: u64,
+    pub mean_answer_tokens: u64,
     /// The position of the next upstream, for placement in turn.
-    pub next: usize,
+    pub next_round_robin: usize,
 }
 
 impl Pool {
     /// Returns whether a call waits here in any way.
-    pub fn waits(&self, attempt: &AttemptId) -> bool {
-        let is_it = |waiting: &Waiting| waiting.place.attempt == *attempt;
+    pub fn is_waiting(&self, attempt: &AttemptId) -> bool {
+        let is_it = |waiting: &QueuedCall| waiting.place.attempt == *attempt;
         self.queue.get(attempt).is_some()
             || self.alone.iter().any(is_it)
             || self.held.values().flatten().any(is_it)
     }
 
     /// Removes a call that waits.
-    pub fn forget(&mut self, attempt: AttemptId) {
-        let is_other = |waiting: &Waiting| waiting.place.attempt != attempt;
+    pub fn remove_waiting(&mut self, attempt: AttemptId) {
+        let is_other = |waiting: &QueuedCall| waiting.place.attempt != attempt;
         if self.queue.remove(attempt).is_some() {
             return;
         }
@@ -53,7 +53,7 @@
     }
 
     /// Returns all calls that wait here.
-    pub fn waiting(&self) -> impl Iterator<Item = &Waiting> {
+    pub fn iter_waiting(&self) -> impl Iterator<Item = &QueuedCall> {
         let held = self.held.values().flatten();
         self.queue.iter().chain(&self.alone).chain(held)
     }
--- a/crates/core/src/tables/queue.rs
+++ b/crates/core/src/tables/queue.rs
@@ -9,20 +9,20 @@
 use crate::message::Place;
 
 /// Accounts considered for one assignment.
-const LANES_CONSIDERED: usize = 4;
+const MAX_CANDIDATE_LANES: usize = 4;
 
 /// Calls of one account considered for one assignment.
 ///
 /// A call that waits for the upstream with its cache must not block the calls
 /// behind it, and a bound keeps the cost of an assignment constant.
-const CALLS_CONSIDERED: usize = 4;
+const MAX_CANDIDATES_PER_LANE: usize = 4;
 
 /// Calls considered for one assignment, best first.
-pub type Candidates = SmallVec<[AttemptId; LANES_CONSIDERED * CALLS_CONSIDERED]>;
+pub type Candidates = SmallVec<[AttemptId; MAX_CANDIDATE_LANES * MAX_CANDIDATES_PER_LANE]>;
 
 /// A call that waits for an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedCall {
     /// The entry VM of the call.
     pub vm: VmName,
     /// The request.
@@ -59,7 +59,7 @@
     /// this far behind in weighted service.
     LowestRank {
         /// How far an account may fall behind.
-        bound: u64,
+        max_lag: u64,
     },
 }
 
@@ -72,7 +72,7 @@
 /// and accounts.
 #[derive(Debug, Default)]
 pub struct Queue {
-    rows: Table<AttemptId, (Waiting, Rank, LaneKey)>,
+    rows: Table<AttemptId, (QueuedCall, Rank, LaneKey)>,
     lanes: Table<LaneKey, Lane>,
     by_counter: BTreeSet<(u64, LaneKey)>,
     by_rank: BTreeSet<(Rank, LaneKey)>,
@@ -83,35 +83,35 @@
 /// # Calls
 impl Queue {
     /// Adds a call to the lane of an account.
-    pub fn push(&mut self, lane: LaneKey, rank: Rank, waiting: Waiting) {
+    pub fn push(&mut self, lane: LaneKey, rank: Rank, waiting: QueuedCall) {
         let floor = self
             .by_counter
             .first()
             .map_or(self.floor, |(least, _)| *least);
-        self.unlist(&lane);
+        self.remove_from_orders(&lane);
         let row = self.lanes.get_or_insert_with(&lane, Lane::default);
         if row.calls.is_empty() {
             row.counter = row.counter.max(floor);
         }
         row.calls.insert(rank);
-        self.list(&lane);
+        self.insert_in_orders(&lane);
         self.rows.insert(rank.attempt, (waiting, rank, lane));
     }
 
     /// Removes a call and returns it.
-    pub fn remove(&mut self, attempt: AttemptId) -> Option<Waiting> {
+    pub fn remove(&mut self, attempt: AttemptId) -> Option<QueuedCall> {
         let (waiting, rank, lane) = self.rows.remove(&attempt)?;
-        self.unlist(&lane);
+        self.remove_from_orders(&lane);
         if let Some(row) = self.lanes.get_mut(&lane) {
             row.calls.remove(&rank);
             self.floor = self.floor.max(row.counter);
         }
-        self.list(&lane);
+        self.insert_in_orders(&lane);
         Some(waiting)
     }
 
     /// Returns a waiting call.
-    pub fn get(&self, attempt: &AttemptId) -> Option<&Waiting> {
+    pub fn get(&self, attempt: &AttemptId) -> Option<&QueuedCall> {
         self.rows.get(attempt).map(|(waiting, ..)| waiting)
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Iterates over the waiting calls, in no particular order.
-    pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    pub fn iter(&self) -> impl Iterator<Item = &QueuedCall> {
         self.rows.iter().map(|(_, (waiting, ..))| waiting)
     }
 }
@@ -134,17 +134,17 @@
 /// # Order
 impl Queue {
     /// Books service that an account has received.
-    pub fn serve(&mut self, lane: &LaneKey, service: u64) {
+    pub fn add_service(&mut self, lane: &LaneKey, service: u64) {
         self.adjust(lane, |counter| counter.saturating_add(service));
     }
 
     /// Takes back service that was booked but not received.
-    pub fn unserve(&mut self, lane: &LaneKey, service: u64) {
+    pub fn subtract_service(&mut self, lane: &LaneKey, service: u64) {
         self.adjust(lane, |counter| counter.saturating_sub(service));
     }
 
     /// Returns the weighted service that an account has received.
-    pub fn served(&self, lane: &LaneKey) -> u64 {
+    pub fn service_received(&self, lane: &LaneKey) -> u64 {
         self.lanes.get(lane).map_or(0, |row| row.counter)
     }
 
@@ -156,8 +156,8 @@
                 let lanes = self.by_counter.iter().map(|(_, lane)| lane);
                 self.collect(lanes, &mut found);
             }
-            LaneOrder::LowestRank { bound } => {
-                let behind = self.furthest_behind(bound);
+            LaneOrder::LowestRank { max_lag } => {
+                let behind = self.furthest_behind(max_lag);
                 let others = self.by_rank.iter().map(|(_, lane)| lane);
                 let lanes = behind
                     .into_iter()
@@ -169,33 +169,33 @@
     }
 
     /// Returns the account that is further behind than a bound, if there is one.
-    fn furthest_behind(&self, bound: u64) -> Option<&LaneKey> {
+    fn furthest_behind(&self, max_lag: u64) -> Option<&LaneKey> {
         let (least, lane) = self.by_counter.first()?;
         let (most, _) = self.by_counter.last()?;
-        (most - least > bound).then_some(lane)
+        (most - least > max_lag).then_some(lane)
     }
 
     /// Collects the first calls of the first lanes.
     fn collect<'a>(&'a self, lanes: impl Iterator<Item = &'a LaneKey>, found: &mut Candidates) {
-        for lane in lanes.take(LANES_CONSIDERED) {
+        for lane in lanes.take(MAX_CANDIDATE_LANES) {
             let Some(row) = self.lanes.get(lane) else {
                 continue;
             };
-            let first = row.calls.iter().take(CALLS_CONSIDERED);
+            let first = row.calls.iter().take(MAX_CANDIDATES_PER_LANE);
             found.extend(first.map(|rank| rank.attempt));
         }
     }
 
     /// Changes the counter of an account.
     fn adjust(&mut self, lane: &LaneKey, change: impl FnOnce(u64) -> u64) {
-        self.unlist(lane);
+        self.remove_from_orders(lane);
         let row = self.lanes.get_or_insert_with(lane, Lane::default);
         row.counter = change(row.counter);
-        self.list(lane);
+        self.insert_in_orders(lane);
     }
 
     /// Removes a lane from the ordered sets.
-    fn unlist(&mut self, lane: &LaneKey) {
+    fn remove_from_orders(&mut self, lane: &LaneKey) {
         let Some(row) = self.lanes.get(lane) else {
             return;
         };
@@ -207,7 +207,7 @@
     }
 
     /// Adds a lane with calls to the ordered sets.
-    fn list(&mut self, lane: &LaneKey) {
+    fn insert_in_orders(&mut self, lane: &LaneKey) {
         let Some(row) = self.lanes.get(lane) else {
             return;
         };
--- a/crates/core/src/tables/retry.rs
+++ b/crates/core/src/tables/retry.rs
@@ -14,12 +14,12 @@
 /// use knapweeddale_core::tables::RetryBudget;
 ///
 /// let mut budget = RetryBudget::default();
-/// let allowed = (0..10).filter(|_| budget.take(0, 20)).count();
+/// let allowed = (0..10).filter(|_| budget.try_take(0, 20)).count();
 /// assert_eq!(allowed, 3);
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RetryBudget {
-    started_us: u64,
+    window_start_us: u64,
     calls: [u64; 2],
     retries: [u64; 2],
 }
@@ -27,13 +27,13 @@
 impl RetryBudget {
     /// Counts a call.
     pub fn count_call(&mut self, now_us: u64) {
-        self.turn(now_us);
+        self.rotate_window(now_us);
         self.calls[0] += 1;
     }
 
     /// Takes one retry; returns whether the budget allows it.
-    pub fn take(&mut self, now_us: u64, percent: u64) -> bool {
-        self.turn(now_us);
+    pub fn try_take(&mut self, now_us: u64, percent: u64) -> bool {
+        self.rotate_window(now_us);
         let calls: u64 = self.calls.iter().sum();
         let retries: u64 = self.retries.iter().sum();
         if retries >= MIN_RETRIES.max(calls * percent / 100) {
@@ -44,14 +44,14 @@
     }
 
     /// Starts a new window when the present one is over.
-    fn turn(&mut self, now_us: u64) {
-        let elapsed_us = now_us.saturating_sub(self.started_us);
+    fn rotate_window(&mut self, now_us: u64) {
+        let elapsed_us = now_us.saturating_sub(self.window_start_us);
         if elapsed_us < WINDOW_US {
             return;
         }
         let is_recent = elapsed_us < 2 * WINDOW_US;
         self.calls = [0, if is_recent { self.calls[0] } else { 0 }];
         self.retries = [0, if is_recent { self.retries[0] } else { 0 }];
-        self.started_us = now_us;
+        self.window_start_us = now_us;
     }
 }
--- a/crates/core/src/tables/share.rs
+++ b/crates/core/src/tables/share.rs
@@ -46,7 +46,7 @@
 
 /// A grant in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldGrant {
     /// The share.
     pub id: ShareId,
     /// The last grant that was applied.
@@ -67,33 +67,33 @@
     /// What may be admitted; empty without a grant.
     pub bucket: Bucket,
     /// The grant in force.
-    pub held: Option<Held>,
+    pub held: Option<HeldGrant>,
     /// Calls that wait for the rate, first come first served.
     pub waiting: VecDeque<CallId>,
     /// Calls that begin a program; they wait until no other call does.
-    pub beginning: VecDeque<CallId>,
+    pub waiting_to_begin: VecDeque<CallId>,
     /// Arrivals of the last second.
-    pub offered: Meter,
+    pub arrivals: Meter,
     /// When the last call arrived.
     pub last_call_us: u64,
     /// The last demand.
     pub demand_seq: u64,
     /// When the last demand that asks for a grant was sent.
-    pub asked_us: u64,
+    pub last_ask_us: u64,
     /// New shares that answer an earlier demand than this are ignored.
     pub floor_seq: u64,
     /// Pause before the next demand while calls wait; 0 if none wait.
     pub retry_us: u64,
     /// When the next demand is due; 0 if no timer runs.
-    pub ask_due_us: u64,
+    pub demand_due_us: u64,
     /// When the bucket is looked at again; 0 if no timer runs.
     pub refill_due_us: u64,
     /// Whether the owner still takes the account over and can lend little.
-    pub is_owner_new: bool,
+    pub is_owner_taking_over: bool,
     /// The owner of the account and the epoch in which it was worked out.
     pub owner: Option<(Epoch, VmName)>,
     /// How the bucket is shared with other VMs, if no owner divides it.
-    pub pooled: Option<Pooled>,
+    pub replicated: Option<ReplicatedBucket>,
 }
 
 /// How a VM takes from a bucket of which each VM keeps a copy.
@@ -102,48 +102,48 @@
 /// calls are taken freely; below the reserve, each VM keeps to its part of the rate, so that the
 /// VMs together do not take the same calls twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Pooled {
+pub struct ReplicatedBucket {
     /// Level below which each VM keeps to its part.
     pub reserve_ncalls: u64,
     /// Level below which no call that begins a program is admitted.
-    pub begin_ncalls: u64,
+    pub begin_reserve_ncalls: u64,
     /// Calls that were taken beyond the level; they are paid back from the rate.
     pub debt_ncalls: u64,
     /// This VM's part of the rate.
-    pub pace: Bucket,
+    pub own_part: Bucket,
 }
 
-impl Pooled {
+impl ReplicatedBucket {
     /// Takes one call from this VM's copy of the bucket; returns whether there was one.
-    fn take(&mut self, bucket: &mut Bucket, begins: bool, now_us: u64) -> bool {
-        self.pay_back(bucket, now_us);
-        let needed_ncalls = self.floor_ncalls(begins) + NCALLS_PER_CALL;
+    fn try_take(&mut self, bucket: &mut Bucket, begins: bool, now_us: u64) -> bool {
+        self.repay_debt(bucket, now_us);
+        let needed_ncalls = self.reserved_ncalls(begins) + NCALLS_PER_CALL;
         let is_ample = self.debt_ncalls == 0 && bucket.level_ncalls >= needed_ncalls;
-        let is_paced = !begins && self.pace.take(now_us);
+        let is_paced = !begins && self.own_part.try_take(now_us);
         if is_ample || is_paced {
-            self.spend(bucket, NCALLS_PER_CALL);
+            self.debit(bucket, NCALLS_PER_CALL);
         }
         is_ample || is_paced
     }
 
     /// Returns the level that a call has to leave, apart from a VM's own part of the rate.
-    fn floor_ncalls(&self, begins: bool) -> u64 {
+    fn reserved_ncalls(&self, begins: bool) -> u64 {
         if begins {
-            self.begin_ncalls
+            self.begin_reserve_ncalls
         } else {
             self.reserve_ncalls
         }
     }
 
     /// Takes calls of another VM from this VM's copy of the bucket.
-    pub fn spend(&mut self, bucket: &mut Bucket, ncalls: u64) {
+    pub fn debit(&mut self, bucket: &mut Bucket, ncalls: u64) {
         let taken = bucket.level_ncalls.min(ncalls);
         bucket.level_ncalls -= taken;
         self.debt_ncalls += ncalls - taken;
     }
 
     /// Refills the copy, paying debt back first.
-    pub fn pay_back(&mut self, bucket: &mut Bucket, now_us: u64) {
+    pub fn repay_debt(&mut self, bucket: &mut Bucket, now_us: u64) {
         bucket.refill(now_us);
         let paid = bucket.level_ncalls.min(self.debt_ncalls);
         bucket.level_ncalls -= paid;
@@ -154,13 +154,13 @@
     fn ready_in_us(&self, bucket: &Bucket, begins: bool, now_us: u64) -> Option<u64> {
         let mut full = *bucket;
         full.refill(now_us);
-        let needed = self.floor_ncalls(begins) + self.debt_ncalls + NCALLS_PER_CALL;
+        let needed = self.reserved_ncalls(begins) + self.debt_ncalls + NCALLS_PER_CALL;
         let missing = needed.saturating_sub(full.level_ncalls);
         let ample_us = match bucket.rate_mcalls_per_s {
             0 => None,
             rate => Some(missing.div_ceil(rate)),
         };
-        let paced_us = self.pace.ready_in_us(now_us).filter(|_| !begins);
+        let paced_us = self.own_part.ready_in_us(now_us).filter(|_| !begins);
         match (ample_us, paced_us) {
             (Some(ample_us), Some(paced_us)) => Some(ample_us.min(paced_us)),
             (ample_us, paced_us) => ample_us.or(paced_us),
@@ -172,16 +172,16 @@
     /// Takes one call; returns whether there was one.
     ///
     /// A call that begins a program is admitted only while there is room for those that go on.
-    pub fn take(&mut self, begins: bool, now_us: u64) -> bool {
-        match &mut self.pooled {
-            Some(pooled) => pooled.take(&mut self.bucket, begins, now_us),
-            None => self.bucket.take(now_us),
+    pub fn try_take(&mut self, begins: bool, now_us: u64) -> bool {
+        match &mut self.replicated {
+            Some(pooled) => pooled.try_take(&mut self.bucket, begins, now_us),
+            None => self.bucket.try_take(now_us),
         }
     }
 
     /// Returns the time until one call can be taken; `None` if that never happens.
     pub fn ready_in_us(&self, begins: bool, now_us: u64) -> Option<u64> {
-        match &self.pooled {
+        match &self.replicated {
             Some(pooled) => pooled.ready_in_us(&self.bucket, begins, now_us),
             None => self.bucket.ready_in_us(now_us),
         }
@@ -190,7 +190,7 @@
     /// Returns the queue of calls that begin a program, or that of the others.
     pub fn queue_mut(&mut self, begins: bool) -> &mut VecDeque<CallId> {
         if begins {
-            &mut self.beginning
+            &mut self.waiting_to_begin
         } else {
             &mut self.waiting
         }
--- a/crates/core/src/tables/source.rs
+++ b/crates/core/src/tables/source.rs
@@ -8,7 +8,7 @@
 
 /// One thing that is read from the store at intervals.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Reading {
+pub struct ReadState {
     /// When the latest answered request for it was sent, by any VM.
     pub read_us: Option<u64>,
     /// When the request that is under way was sent.
@@ -19,7 +19,7 @@
     pub retry_us: u64,
 }
 
-impl Reading {
+impl ReadState {
     /// Takes note that an answer reflects the store at a moment or later.
     pub fn note(&mut self, read_us: u64) {
         self.read_us = self.read_us.max(Some(read_us));
@@ -32,17 +32,17 @@
 }
 
 /// Longest life of a program that is not stopped.
-const PROGRAM_LIFE_US: u64 = 10_000_000;
+const MAX_PROGRAM_LIFETIME_US: u64 = 10_000_000;
 
 /// What a VM knows of programs that ran before it started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Knowledge {
+pub enum ProgramKnowledge {
     /// Nothing yet; turns wait until another VM or the store has been asked.
     #[default]
     Pending,
     /// All that has run since the memory of all VMs was lost this often within the retention of
     /// programs.
-    Since {
+    Known {
         /// The number of losses.
         losses: u32,
         /// When the last one was counted; 0 if there was none.
@@ -50,7 +50,7 @@
     },
 }
 
-impl Knowledge {
+impl ProgramKnowledge {
     /// Returns the losses that count for a program which is met now, if anything is known.
     ///
     /// A program that was stopped has a record, and the others do not live for long. One that is
@@ -58,8 +58,10 @@
     pub fn losses(self, now_us: u64) -> Option<u32> {
         match self {
             Self::Pending => None,
-            Self::Since { counted_us, .. } if counted_us + PROGRAM_LIFE_US < now_us => Some(0),
-            Self::Since { losses, .. } => Some(losses),
+            Self::Known { counted_us, .. } if counted_us + MAX_PROGRAM_LIFETIME_US < now_us => {
+                Some(0)
+            }
+            Self::Known { losses, .. } => Some(losses),
         }
     }
 }
@@ -68,25 +70,25 @@
 #[derive(Debug, Default)]
 pub struct Source {
     /// The published configuration.
-    pub config: Reading,
+    pub config: ReadState,
     /// The list of upstreams.
-    pub list: Reading,
+    pub list: ReadState,
     /// The registration of this VM and the list of the others.
-    pub vms: Reading,
+    pub vms: ReadState,
     /// VMs with a disk, as the store or another VM has named them.
     pub keepers: Arc<Vec<RecordKeeper>>,
     /// The count of losses of memory.
-    pub losses: Reading,
+    pub losses: ReadState,
     /// Whether the last request of this VM had no answer.
-    pub is_lost: bool,
+    pub is_unreachable: bool,
     /// When the list was read again after a long pause.
-    pub returned_us: Option<u64>,
+    pub list_resumed_us: Option<u64>,
     /// The list of upstreams in force.
     pub upstreams: Arc<UpstreamList>,
     /// Tells it apart from others.
     pub stamp: ListStamp,
     /// What is known of programs that ran before this VM started.
-    pub knowledge: Knowledge,
+    pub knowledge: ProgramKnowledge,
     /// Turns that wait until something is known of programs.
     pub waiting: Vec<CallId>,
     /// When this VM started.
--- a/crates/core/src/tables/suspect.rs
+++ b/crates/core/src/tables/suspect.rs
@@ -6,20 +6,20 @@
     /// Crashes during which the content ran.
     pub crashes: u32,
     /// Lost connections with this content whose cause is still examined.
-    pub examined: u32,
+    pub pending_examinations: u32,
     /// Copies that run at present in the pools of this VM.
     pub running: u32,
     /// When the content was last seen.
-    pub seen_us: u64,
+    pub last_seen_us: u64,
 }
 
 impl Suspect {
     /// Crashes after which a content runs alone on an upstream.
-    pub const ALONE_CRASHES: u32 = 2;
+    pub const EXCLUSIVE_RUN_CRASHES: u32 = 2;
 
     /// Returns whether the content has to run alone on an upstream.
-    pub fn runs_alone(&self) -> bool {
-        self.crashes >= Self::ALONE_CRASHES
+    pub fn must_run_exclusively(&self) -> bool {
+        self.crashes >= Self::EXCLUSIVE_RUN_CRASHES
     }
 }
 
--- a/crates/core/src/tables/takeover.rs
+++ b/crates/core/src/tables/takeover.rs
@@ -14,7 +14,7 @@
     /// That is at once after the other one, on leaving, has handed everything
     /// over, and otherwise the takeover wait after this VM learned of the view.
     pub fn takeover_ready_us(&self, settings: &CoreSettings, from: &VmName) -> u64 {
-        self.ready_us(settings, from, self.membership.view_since_us)
+        self.wait_end_us(settings, from, self.membership.view_since_us)
     }
 
     /// Returns from when this VM may act for something, or `None` if it does not own it.
@@ -22,12 +22,14 @@
     /// `owner` returns the owner in a view. It is asked for the view in force
     /// and for those that were in force within the takeover wait, so that a
     /// second view change does not cut the wait of the first one short.
-    pub fn acts_from_us<'a>(
+    pub fn may_act_from_us<'a>(
         &'a self,
         settings: &CoreSettings,
         owner: impl Fn(&'a View) -> Option<&'a VmName>,
     ) -> Option<u64> {
-        let me = self.view.member_at(&settings.vm, settings.incarnation)?;
+        let me = self
+            .view
+            .member_with_incarnation(&settings.vm, settings.incarnation)?;
         if owner(&self.view) != Some(&me.vm) {
             return None;
         }
@@ -38,9 +40,9 @@
             let Some(before) = owner(&past.view) else {
                 continue;
             };
-            let is_me = *before == me.vm && is_same(&past.view, me);
+            let is_me = *before == me.vm && has_same_membership(&past.view, me);
             if before != owned_by && !is_me {
-                ready_us = ready_us.max(self.ready_us(settings, before, since_us));
+                ready_us = ready_us.max(self.wait_end_us(settings, before, since_us));
             } else if *before == me.vm && !is_me {
                 ready_us = ready_us.max(since_us + settings.takeover_wait_us());
             }
@@ -54,7 +56,7 @@
     }
 
     /// Returns whether this VM may act as owner or home of something now.
-    pub fn acts_for<'a>(
+    pub fn may_act_for<'a>(
         &'a self,
         settings: &CoreSettings,
         now_us: u64,
@@ -62,7 +64,7 @@
     ) -> bool {
         self.lease.is_valid(now_us)
             && self
-                .acts_from_us(settings, owner)
+                .may_act_from_us(settings, owner)
                 .is_some_and(|from_us| from_us <= now_us)
     }
 
@@ -82,7 +84,7 @@
     }
 
     /// Returns the end of the wait for one VM, counted from a view change.
-    fn ready_us(&self, settings: &CoreSettings, from: &VmName, since_us: u64) -> u64 {
+    fn wait_end_us(&self, settings: &CoreSettings, from: &VmName, since_us: u64) -> u64 {
         let departed = self.membership.departed.get(from);
         let handed_over_us = departed
             .filter(|departed| departed.since_us >= since_us)
@@ -92,7 +94,7 @@
 }
 
 /// Returns whether a view names the same process and membership.
-fn is_same(view: &View, me: &Member) -> bool {
-    view.member_at(&me.vm, me.incarnation)
+fn has_same_membership(view: &View, me: &Member) -> bool {
+    view.member_with_incarnation(&me.vm, me.incarnation)
         .is_some_and(|member| member.joined == me.joined)
 }
--- a/crates/core/src/tables/timers.rs
+++ b/crates/core/src/tables/timers.rs
@@ -19,7 +19,7 @@
     /// An account may have calls for those that wait.
     RateRefill(AccountName),
     /// A holder has to renew its share or to ask again.
-    ShareAsk(AccountName),
+    ShareDemand(AccountName),
     /// An owner may have calls for holders that wait.
     LoanQueue(AccountName),
     /// The last grant of a loan may have ended.
@@ -39,11 +39,11 @@
     /// A caller's request about a program has to be sent again.
     RequestRetry(CallId),
     /// A request to end a program need not be remembered any longer.
-    EndedForget(CallId),
+    EndedRequestExpiry(CallId),
     /// The state of a program that is over need not be kept any longer.
-    TombstoneForget(ProgramKey),
+    TombstoneExpiry(ProgramKey),
     /// A witness need not be kept any longer.
-    WitnessForget(ProgramKey),
+    WitnessExpiry(ProgramKey),
     /// A transfer to a new home has to be sent again.
     TransferRetry(u64),
     /// A release of engine memory has to be sent again.
@@ -63,9 +63,9 @@
     /// An upstream may be ready for calls again.
     UpstreamReady(UpstreamName),
     /// The cause of a broken connection must be decided.
-    CrashVerdict(UpstreamName),
+    CrashDecision(UpstreamName),
     /// A program may have had no calls for a long time.
-    FootprintIdle(ProgramKey),
+    PlacementHistoryIdle(ProgramKey),
     /// A content may not have been seen for a long time.
     SuspectIdle(ContentDigest),
     /// A quarantine may have ended.
--- a/crates/core/src/tables/upstream.rs
+++ b/crates/core/src/tables/upstream.rs
@@ -5,17 +5,17 @@
 
 use smallvec::SmallVec;
 
-use super::{Health, Limit};
+use super::{ConcurrencyLimit, Health};
 use crate::config::UpstreamConfig;
 use crate::ids::{
     AccountName, AttemptId, ContentDigest, ModelName, PoolKey, ProgramKey, UpstreamName, VmName,
 };
 
 /// Time per prefill token before it has been measured.
-const PREFILL_NS_PER_TOKEN: u64 = 20_000;
+const INITIAL_PREFILL_NS_PER_TOKEN: u64 = 20_000;
 
 /// Part of a cache hint that counts before it has been measured, in percent.
-const HINT_TRUST_PERCENT: u64 = 90;
+const INITIAL_HINT_ACCURACY_PERCENT: u64 = 90;
 
 /// An upstream.
 #[derive(Debug, Clone)]
@@ -25,7 +25,7 @@
     /// Its address, shared with dispatches.
     pub address: Arc<str>,
     /// Models that it reports as loaded; `None` if it does not report them.
-    pub loaded: Option<Vec<ModelName>>,
+    pub loaded_models: Option<Vec<ModelName>>,
     /// Reports in a row in which no call ran on it.
     pub idle_reports: u32,
     /// The pools that it belongs to.
@@ -40,21 +40,21 @@
     /// Calls of this VM that run on it.
     pub own_calls: u32,
     /// How many calls it may run at once.
-    pub limit: Limit,
+    pub limit: ConcurrencyLimit,
     /// Its failures.
     pub health: Health,
     /// Whether one call has it for itself.
-    pub is_alone: bool,
+    pub has_exclusive_call: bool,
     /// When the prompts placed on it so far have been read.
     pub prefill_until_us: u64,
     /// Measured time to read one prompt token.
     pub prefill_ns_per_token: u64,
     /// Measured part of the cache hints that was found, in percent.
-    pub hint_trust_percent: u64,
+    pub hint_accuracy_percent: u64,
     /// Mean time that a call holds a place on it.
-    pub hold_us: u64,
+    pub mean_call_us: u64,
     /// The load with which it is listed in the open sets of its pools.
-    pub listed: Option<u64>,
+    pub open_load_permille: Option<u64>,
 }
 
 impl Upstream {
@@ -62,21 +62,21 @@
     pub fn new(config: UpstreamConfig) -> Self {
         Self {
             address: Arc::from(config.address.as_str()),
-            loaded: None,
+            loaded_models: None,
             idle_reports: 0,
             pools: SmallVec::new(),
             attempts: BTreeSet::new(),
             foreign_calls: 0,
             peak_calls: [0; 2],
             own_calls: 0,
-            limit: Limit::new(config.min_running_calls, config.max_running_calls),
+            limit: ConcurrencyLimit::new(config.min_running_calls, config.max_running_calls),
             health: Health::default(),
-            is_alone: false,
+            has_exclusive_call: false,
             prefill_until_us: 0,
-            prefill_ns_per_token: PREFILL_NS_PER_TOKEN,
-            hint_trust_percent: HINT_TRUST_PERCENT,
-            hold_us: 1_000_000,
-            listed: None,
+            prefill_ns_per_token: INITIAL_PREFILL_NS_PER_TOKEN,
+            hint_accuracy_percent: INITIAL_HINT_ACCURACY_PERCENT,
+            mean_call_us: 1_000_000,
+            open_load_permille: None,
             config,
         }
     }
@@ -90,16 +90,16 @@
     }
 
     /// Forgets what a former start of its process held.
-    pub fn restarted(&mut self, now_us: u64) {
+    pub fn reset_after_restart(&mut self, now_us: u64) {
         self.health = Health::default();
-        self.health.cache_from_us = now_us;
+        self.health.cache_valid_from_us = now_us;
         self.prefill_until_us = 0;
     }
 
     /// Returns whether calls of a model can run on it.
-    pub fn has_loaded(&self, model: &ModelName) -> bool {
+    pub fn can_run_model(&self, model: &ModelName) -> bool {
         let is_loaded = |loaded: &Vec<ModelName>| loaded.contains(model);
-        self.config.models.contains(model) && self.loaded.as_ref().is_none_or(is_loaded)
+        self.config.models.contains(model) && self.loaded_models.as_ref().is_none_or(is_loaded)
     }
 
     /// Returns the calls that run on it, of all origins.
@@ -124,14 +124,14 @@
     /// Returns whether it may get one more call.
     pub fn has_room(&self, now_us: u64, is_learned: bool) -> bool {
         self.is_usable(now_us)
-            && !self.is_alone
+            && !self.has_exclusive_call
             && self.running_calls() < self.limit_calls(is_learned)
     }
 }
 
 /// An attempt that runs on an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Running {
+pub struct RunningAttempt {
     /// The upstream.
     pub upstream: UpstreamName,
     /// The pool that placed it.
@@ -145,7 +145,7 @@
     /// The content.
     pub digest: ContentDigest,
     /// Whether it has the upstream for itself.
-    pub alone: bool,
+    pub is_exclusive: bool,
     /// When it was placed.
     pub placed_us: u64,
     /// Prompts that were read before it, in prefill time.
@@ -153,7 +153,7 @@
     /// Tokens that were expected in the cache.
     pub expected_cached_tokens: u64,
     /// Service booked for the account.
-    pub booked: u64,
+    pub booked_service: u64,
     /// Whether it was already counted in a crash of its upstream.
-    pub is_counted: bool,
+    pub is_counted_in_crash: bool,
 }
--- a/crates/core/src/tables/view.rs
+++ b/crates/core/src/tables/view.rs
@@ -85,28 +85,28 @@
 impl View {
     /// Returns the owner of a client account.
     pub fn account_owner(&self, account: &AccountName) -> Option<&VmName> {
-        self.owner(OwnedKind::Account, [account.as_str(), ""])
+        self.choose_owner(OwnedKind::Account, [account.as_str(), ""])
     }
 
     /// Returns the home of a program, which is that of its root.
     pub fn program_home(&self, program: &ProgramKey) -> Option<&VmName> {
         let key = [program.account.as_str(), program.name.root()];
-        self.owner(OwnedKind::Program, key)
+        self.choose_owner(OwnedKind::Program, key)
     }
 
     /// Returns the owner of a pool.
     pub fn pool_owner(&self, pool: &PoolKey) -> Option<&VmName> {
         let model = pool.model.as_ref().map_or("", |model| model.as_str());
-        self.owner(OwnedKind::Pool, [pool.service.as_str(), model])
+        self.choose_owner(OwnedKind::Pool, [pool.service.as_str(), model])
     }
 
     /// Returns the VM that gives the orders to the engines of a service.
     pub fn orders_owner(&self, service: &ServiceName) -> Option<&VmName> {
-        self.owner(OwnedKind::Orders, [service.as_str(), ""])
+        self.choose_owner(OwnedKind::Orders, [service.as_str(), ""])
     }
 
     /// Chooses the member with the highest hash of itself and the key.
-    fn owner(&self, kind: OwnedKind, key: [&str; 2]) -> Option<&VmName> {
+    fn choose_owner(&self, kind: OwnedKind, key: [&str; 2]) -> Option<&VmName> {
         let score = |member: &Member| {
             let hash = [member.vm.as_str(), key[0], key[1]]
                 .iter()
@@ -130,7 +130,11 @@
     }
 
     /// Returns a member if this start of its process is the one in the view.
-    pub fn member_at(&self, vm: &VmName, incarnation: Incarnation) -> Option<&Member> {
+    pub fn member_with_incarnation(
+        &self,
+        vm: &VmName,
+        incarnation: Incarnation,
+    ) -> Option<&Member> {
         self.member(vm)
             .filter(|member| member.incarnation == incarnation)
     }
@@ -141,12 +145,12 @@
     }
 
     /// Returns whether this start of a VM's process may write the next view.
-    pub fn is_writer_at(&self, vm: &VmName, incarnation: Incarnation) -> bool {
-        self.is_writer(vm) && self.member_at(vm, incarnation).is_some()
+    pub fn is_writer_with_incarnation(&self, vm: &VmName, incarnation: Incarnation) -> bool {
+        self.is_writer(vm) && self.member_with_incarnation(vm, incarnation).is_some()
     }
 
     /// Inserts or replaces a member.
-    pub fn put(&mut self, member: Member) {
+    pub fn insert_member(&mut self, member: Member) {
         match self.members.binary_search_by(|row| row.vm.cmp(&member.vm)) {
             Ok(at) => self.members[at] = member,
             Err(at) => self.members.insert(at, member),
@@ -186,7 +190,7 @@
             .members
             .retain(|member| !delta.removed.contains(&member.vm));
         for member in &delta.changed {
-            after.put(member.clone());
+            after.insert_member(member.clone());
         }
         Some(after)
     }
@@ -198,7 +202,7 @@
         self.members
             .iter()
             .filter(|member| {
-                let same = other.member_at(&member.vm, member.incarnation);
+                let same = other.member_with_incarnation(&member.vm, member.incarnation);
                 same.is_none_or(|same| same.joined != member.joined)
             })
             .cloned()
--- a/crates/core/src/tables/vm.rs
+++ b/crates/core/src/tables/vm.rs
@@ -8,22 +8,22 @@
     /// The latest start of its process that was heard of.
     pub incarnation: Incarnation,
     /// When a message of this start last arrived.
-    pub heard_us: u64,
+    pub last_heard_us: u64,
     /// The epoch that it last reported.
     pub epoch: Epoch,
     /// The epoch of the view that was last passed on to it.
-    pub told_epoch: Epoch,
+    pub sent_epoch: Epoch,
     /// The revision that it last reported.
     pub revision: Revision,
     /// Whether it says that it is leaving.
     pub leaving: bool,
     /// Its last heartbeat that asked for an answer.
-    pub asked: Option<Asked>,
+    pub heartbeat_request: Option<HeartbeatRequest>,
 }
 
 /// A heartbeat that asked for an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asked {
+pub struct HeartbeatRequest {
     /// The round of heartbeats.
     pub round: u64,
     /// When it arrived.
@@ -31,11 +31,11 @@
     /// When it, or one before it, was last answered.
     pub answered_us: u64,
     /// The confirmation that was last passed on.
-    pub told_us: u64,
+    pub sent_confirmation_us: u64,
     /// The revision that was last passed on.
-    pub told_revision: Revision,
+    pub sent_revision: Revision,
     /// Whether the last answer held a promise.
-    pub told_promise: bool,
+    pub sent_promise: bool,
 }
 
 impl Vm {
@@ -43,12 +43,12 @@
     pub fn new(incarnation: Incarnation, now_us: u64) -> Self {
         Self {
             incarnation,
-            heard_us: now_us,
+            last_heard_us: now_us,
             epoch: Epoch::default(),
-            told_epoch: Epoch::default(),
+            sent_epoch: Epoch::default(),
             revision: Revision::default(),
             leaving: false,
-            asked: None,
+            heartbeat_request: None,
         }
     }
 }
--- a/crates/core/tests/cache_affinity.rs
+++ b/crates/core/tests/cache_affinity.rs
@@ -113,9 +113,9 @@
     let (_, row) = row.expect("upstream exists");
     let (_, footprint) = control
         .tables()
-        .footprints
+        .placement_histories
         .iter()
         .next()
         .expect("footprint");
-    assert!(footprint.hints[0].at_us < row.health.cache_from_us);
+    assert!(footprint.hints[0].ended_us < row.health.cache_valid_from_us);
 }
--- a/crates/core/tests/changed_limits.rs
+++ b/crates/core/tests/changed_limits.rs
@@ -49,7 +49,10 @@
         let Some(bucket) = buckets.get_mut(account) else {
             continue;
         };
-        assert!(bucket.take(*at_us), "{account} over its rate at {at_us} us");
+        assert!(
+            bucket.try_take(*at_us),
+            "{account} over its rate at {at_us} us"
+        );
     }
     counts
 }
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -5,7 +5,7 @@
 
 use knapweeddale_core::config::PolicyPreset;
 use knapweeddale_core::message::Place;
-use knapweeddale_core::tables::{LaneOrder, Queue, Rank, Waiting};
+use knapweeddale_core::tables::{LaneOrder, Queue, QueuedCall, Rank};
 use knapweeddale_core::{
     AccountName, AttemptId, CallId, CoreSettings, FleetConfig, Incarnation, ProgramName,
     ProgramTurn,
@@ -127,7 +127,7 @@
 }
 
 /// Makes a waiting call.
-fn waiting(seq: u64) -> Waiting {
+fn waiting(seq: u64) -> QueuedCall {
     let call = CallId {
         incarnation: Incarnation(1),
         seq,
@@ -150,7 +150,7 @@
         priority: None,
         only: None,
     };
-    Waiting {
+    QueuedCall {
         vm: VmName::from("vm-0"),
         place,
         arrived_us: seq,
@@ -173,12 +173,12 @@
         };
         queue.push(lanes[attained as usize].clone(), rank, waiting);
     }
-    let order = LaneOrder::LowestRank { bound: 100 };
+    let order = LaneOrder::LowestRank { max_lag: 100 };
     let first = |queue: &Queue| queue.candidates(order)[0].call.seq % 2;
     assert_eq!(first(&queue), 0);
-    queue.serve(&lanes[0], 100);
+    queue.add_service(&lanes[0], 100);
     assert_eq!(first(&queue), 0);
-    queue.serve(&lanes[0], 1);
+    queue.add_service(&lanes[0], 1);
     assert_eq!(first(&queue), 1);
 }
 
--- a/crates/core/tests/learned_limit.rs
+++ b/crates/core/tests/learned_limit.rs
@@ -1,17 +1,17 @@
 //! Guards against a limit that runs upstreams past the knee of their batch
 //! curve, leaves its bounds, or forgets calls of other origin.
 
-use knapweeddale_core::tables::{Limit, LimitReason};
+use knapweeddale_core::tables::{ConcurrencyLimit, LimitReason};
 use knapweeddale_core::{Input, UpstreamName};
 use knapweeddale_testing::fleet::{engine_call, engine_fleet};
 use knapweeddale_testing::mesh::{BatchModel, Mesh};
 use rstest::rstest;
 
 /// Runs a limit against a curve of the token rate until it settles.
-fn settle(limit: &mut Limit, rate: impl Fn(u32) -> u64) {
+fn settle(limit: &mut ConcurrencyLimit, rate: impl Fn(u32) -> u64) {
     for report in 0..4_000 {
         let now_us = report * 500_000;
-        let _ = limit.report(now_us, limit.calls, rate(limit.calls));
+        let _ = limit.record_load(now_us, limit.calls, rate(limit.calls));
     }
 }
 
@@ -19,7 +19,7 @@
 #[case::knee_at_20(20)]
 #[case::knee_at_40(40)]
 fn climbs_to_the_knee(#[case] knee: u32) {
-    let mut limit = Limit::new(1, 64);
+    let mut limit = ConcurrencyLimit::new(1, 64);
     limit.calls = 4;
     settle(&mut limit, |calls| u64::from(calls.min(knee)) * 60);
     // A step is an eighth; one that ends far past the knee is taken back.
@@ -32,11 +32,11 @@
 
 #[test]
 fn stays_within_its_bounds() {
-    let mut limit = Limit::new(2, 16);
+    let mut limit = ConcurrencyLimit::new(2, 16);
     settle(&mut limit, |calls| u64::from(calls) * 60);
     assert_eq!(limit.calls, 16);
     for attempt in 0..10_000 {
-        let reason = limit.finished(attempt * 100_000, 90_000, 30_000);
+        let reason = limit.record_token_time(attempt * 100_000, 90_000, 30_000);
         assert!(matches!(reason, None | Some(LimitReason::SlowTokens)));
     }
     assert_eq!(limit.calls, 2);
@@ -44,10 +44,10 @@
 
 #[test]
 fn waits_while_it_does_not_bind() {
-    let mut limit = Limit::new(1, 64);
+    let mut limit = ConcurrencyLimit::new(1, 64);
     let before = limit.calls;
     for report in 0..1_000 {
-        assert_eq!(limit.report(report * 500_000, before - 1, 1_000), None);
+        assert_eq!(limit.record_load(report * 500_000, before - 1, 1_000), None);
     }
     assert_eq!(limit.calls, before);
 }
--- a/crates/core/tests/listed_upstreams.rs
+++ b/crates/core/tests/listed_upstreams.rs
@@ -96,5 +96,5 @@
     let name = UpstreamName::from("engine-1");
     let row = relays.control(0).tables().upstreams.get(&name);
     let row = row.expect("listed upstream");
-    assert!(row.health.cache_from_us > 0);
+    assert!(row.health.cache_valid_from_us > 0);
 }
--- a/crates/core/tests/pool_owner.rs
+++ b/crates/core/tests/pool_owner.rs
@@ -47,7 +47,7 @@
     assert!(tables.running.is_empty(), "{:?}", tables.running);
     assert!(tables.finishing.is_empty(), "{:?}", tables.finishing);
     for (_, pool) in tables.pools.iter() {
-        assert_eq!(pool.waiting().count(), 0);
+        assert_eq!(pool.iter_waiting().count(), 0);
     }
     for (_, upstream) in tables.upstreams.iter() {
         assert_eq!((upstream.running_calls(), upstream.own_calls), (0, 0));
@@ -169,7 +169,7 @@
         tables
             .pools
             .iter()
-            .map(|(_, pool)| pool.waiting().count())
+            .map(|(_, pool)| pool.iter_waiting().count())
             .sum::<usize>()
     };
     assert_eq!(waiting(&mesh), 1);
--- a/crates/core/tests/shared_rates.rs
+++ b/crates/core/tests/shared_rates.rs
@@ -134,10 +134,10 @@
     let mut relays = start(50, 50, 1);
     relays.kill(7);
     relays.run_ms(2_000);
-    let part = relays.control(0).tables().peering.part();
+    let part = relays.control(0).tables().peering.usable_fraction();
     assert_eq!(part, (7, 8));
     relays.run_ms(10_000);
-    let part = relays.control(0).tables().peering.part();
+    let part = relays.control(0).tables().peering.usable_fraction();
     assert_eq!(part, (7, 7));
     let share = &relays.control(0).tables().shares;
     let bus = share.get(&AccountName::from("bus")).expect("known account");
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -1,6 +1,6 @@
 //! Guards against an outage of the store that stops the fleet, or is followed by a rush of requests.
 
-use knapweeddale_core::tables::RequestKind;
+use knapweeddale_core::tables::StoreRequestKind;
 use knapweeddale_core::{Decision, FleetConfig, Revision};
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use knapweeddale_testing::{invariants, run_sampled, sample_accounts, seeds, settled_mesh};
@@ -213,7 +213,7 @@
             for &vm in &writers {
                 let membership = &mesh.tables(vm).membership;
                 let pending = membership.store.pending;
-                if pending.is_some_and(|pending| pending.kind == RequestKind::Write) {
+                if pending.is_some_and(|pending| pending.kind == StoreRequestKind::Write) {
                     writes += 1;
                     let until_us = membership.promised_until_us;
                     assert!(until_us <= mesh.local_us(vm), "seed {seed}: VM {vm}");
@@ -237,7 +237,7 @@
         for _ in 0..60_000 {
             mesh.run_until(mesh.now_us() + 100);
             let pending = mesh.tables(writers[0]).membership.store.pending;
-            if pending.is_some_and(|pending| pending.kind == RequestKind::Write) {
+            if pending.is_some_and(|pending| pending.kind == StoreRequestKind::Write) {
                 mesh.store.lost_answers_per_mille = 1_000;
             }
             let stored = mesh.store.stored.as_ref().expect("view is stored");
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -235,7 +235,7 @@
             self.age_ms.with_label_values(&[what]).set(value);
         }
         self.revision.set(gauge_value(tables.fleet.revision.0));
-        let (heard, known) = tables.peering.part();
+        let (heard, known) = tables.peering.usable_fraction();
         self.shared
             .with_label_values(&["heard"])
             .set(gauge_value(heard));
--- a/crates/report/src/bin/rates_report.rs
+++ b/crates/report/src/bin/rates_report.rs
@@ -47,7 +47,7 @@
             if ready_us > until_us {
                 return;
             }
-            admitted[call] = self.bucket.take(ready_us);
+            admitted[call] = self.bucket.try_take(ready_us);
             self.waiting.pop_front();
         }
     }
--- a/crates/testing/src/invariants/owners.rs
+++ b/crates/testing/src/invariants/owners.rs
@@ -37,7 +37,7 @@
             let now_us = mesh.local_us(*vm);
             control
                 .tables()
-                .acts_for(control.settings(), now_us, &owner)
+                .may_act_for(control.settings(), now_us, &owner)
         })
         .map(|(vm, control)| (vm, control.tables().view.epoch.0))
         .collect()
--- a/crates/testing/src/invariants/rates.rs
+++ b/crates/testing/src/invariants/rates.rs
@@ -30,7 +30,7 @@
         let Some(bucket) = buckets.get_mut(account) else {
             return Err(format!("account {account} is not configured"));
         };
-        if !bucket.take(*at_us) {
+        if !bucket.try_take(*at_us) {
             return Err(format!(
                 "{account} over its rate at {at_us} us, call {call} on {vm}"
             ));
--- a/crates/testing/src/measures.rs
+++ b/crates/testing/src/measures.rs
@@ -113,7 +113,7 @@
         served.admitted += u64::from(is_admitted);
         served.wrongly_refused += u64::from(is_wrong);
         served.lost_calls += u64::from(is_lost);
-        served.entitled += u64::from(self.entitled.take(at_us));
+        served.entitled += u64::from(self.entitled.try_take(at_us));
     }
 }
 
--- a/crates/testing/src/mesh/engine.rs
+++ b/crates/testing/src/mesh/engine.rs
@@ -115,20 +115,21 @@
         }
         let batch = self.running.entry(dispatch.upstream.clone()).or_default();
         batch.retain(|_, ends_us| *ends_us > now_us);
-        if self.poison.contains(&call.new.digest) {
+        if self.poison.contains(&call.request.digest) {
             return self.crash(now_us, dispatch);
         }
         let model = &self.model;
         let slowdown_percent = 100 + model.batch_percent * batch.len() as u64;
-        let prefill_us = call.new.prompt_tokens * model.prefill_us_per_token;
-        let decode_us = call.new.max_tokens * model.decode_us_per_token * slowdown_percent / 100;
+        let prefill_us = call.request.prompt_tokens * model.prefill_us_per_token;
+        let decode_us =
+            call.request.max_tokens * model.decode_us_per_token * slowdown_percent / 100;
         let ends_us = now_us + 1_000 + prefill_us + decode_us;
         batch.insert(attempt, ends_us);
         let outcome = AttemptOutcome {
-            prompt_tokens: call.new.prompt_tokens,
+            prompt_tokens: call.request.prompt_tokens,
             cached_tokens: 0,
-            answer_tokens: call.new.max_tokens,
-            history: history_after(&call.new),
+            answer_tokens: call.request.max_tokens,
+            history: history_after(&call.request),
         };
         Run {
             executed: true,
@@ -151,16 +152,16 @@
     /// has the highest allowed length.
     fn run_in_batch(&mut self, now_us: u64, dispatch: &Dispatch, call: &Call) -> Run {
         let mut tail = [0; 8];
-        tail.copy_from_slice(&call.new.digest.0[8..]);
+        tail.copy_from_slice(&call.request.digest.0[8..]);
         let answer_tokens = match u64::from_le_bytes(tail) {
-            0 => call.new.max_tokens,
-            tokens => tokens.min(call.new.max_tokens),
+            0 => call.request.max_tokens,
+            tokens => tokens.min(call.request.max_tokens),
         };
         let program = dispatch
             .program
             .as_ref()
             .map(|(program, _)| program.clone());
-        let prompt_tokens = call.new.prompt_tokens;
+        let prompt_tokens = call.request.prompt_tokens;
         let job = Job::new(dispatch.attempt, program, prompt_tokens, answer_tokens);
         let batch = self.batch(&dispatch.upstream);
         batch.engine.push(job);
--- a/crates/testing/src/mesh/outputs.rs
+++ b/crates/testing/src/mesh/outputs.rs
@@ -118,7 +118,7 @@
             let executed = TraceEvent::Executed {
                 vm: self.vms[vm].name.clone(),
                 dispatch: Box::new(dispatch.clone()),
-                call: Box::new(call.new.clone()),
+                call: Box::new(call.request.clone()),
             };
             self.trace.push(self.now_us, executed);
         }
