--- a/crates/core/src/systems/homes/entry.rs
+++ b/crates/core/src/systems/homes/entry.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// Handles a `Pending`: the home is alive, so the wait for its decision is extended.
+/// Handles a `Pending`: extends the deadline, as the home is alive and has queued the call.
 pub(super) fn handle_pending(tick: &mut Tick<'_>, id: CallId) {
     let give_up_us = tick.now_us + HOME_TIMEOUT_MS * 1_000;
     if let Some(call) = tick.tables.calls.get_mut(&id)
--- a/crates/core/src/systems/homes/home.rs
+++ b/crates/core/src/systems/homes/home.rs
@@ -49,15 +49,21 @@
         BeginDecision::Wait => wait_queue::add(tick, vm, begin, false),
         BeginDecision::Attach => wait_queue::add(tick, vm, begin, true),
         BeginDecision::Replay {
-            vm: keeper,
+            vm: response_vm,
             original,
-        } => reply_kept(tick, vm, &begin, keeper, original),
+        } => reply_kept(tick, vm, &begin, response_vm, original),
         BeginDecision::Deny(kind, ran) => deny(tick, vm, &begin, kind, ran, None),
     }
 }
 
 /// Tells the entry VM of a resent call which VM still has the response.
-fn reply_kept(tick: &mut Tick<'_>, vm: &VmName, begin: &Begin, keeper: VmName, original: CallId) {
+fn reply_kept(
+    tick: &mut Tick<'_>,
+    vm: &VmName,
+    begin: &Begin,
+    response_vm: VmName,
+    original: CallId,
+) {
     let key = &begin.program;
     let Some(state) = tree::build_continuation(tick, key) else {
         return;
@@ -65,7 +71,7 @@
     let permit = permits::issue(tick, key, begin.turn + 1);
     let kept = HomesMessage::Kept {
         call: begin.call,
-        vm: keeper,
+        vm: response_vm,
         original,
         continuation: Box::new(state),
         permit: permit.map(Box::new),
@@ -293,8 +299,8 @@
                 ended_us: now_us,
             });
         }
-        // A request that may not be repeated blocks the turn for others of its kind,
-        // whatever repeatable request has run since.
+        // The unknown outcome of a request that may not be repeated blocks further such
+        // requests, so that of a repeatable request must not replace it.
         Execution::MayHaveRun if program.unknown.is_some_and(|u| !u.idempotent) => {}
         Execution::MayHaveRun => {
             program.unknown = Some(UnknownTurn {
--- a/crates/core/src/systems/homes/lifecycle.rs
+++ b/crates/core/src/systems/homes/lifecycle.rs
@@ -141,14 +141,14 @@
     }
 }
 
-/// Closes a program whose lease has expired or whose wall time is used up.
+/// Closes a program if its lease has expired or its budget is used up, or schedules the next check.
 pub(super) fn check_lease(tick: &mut Tick<'_>, key: &ProgramKey) {
     let Some(program) = tick.tables.programs.get(key) else {
         return;
     };
     let is_running = program.current.is_some() || program.links.first.is_some();
-    let is_over = program.lease_until_us <= tick.now_us && !is_running;
-    if is_over {
+    let has_lapsed = program.lease_until_us <= tick.now_us && !is_running;
+    if has_lapsed {
         return close(tick, key, OverReason::Lapsed);
     }
     if program.phase == Phase::Open && key.name.is_root() {
--- a/crates/core/src/systems/homes/mod.rs
+++ b/crates/core/src/systems/homes/mod.rs
@@ -52,10 +52,14 @@
 /// Inputs queued for the next run of this system.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
+    /// Calls that ask for their turn.
     pub calls: Vec<CallId>,
     pub messages: Vec<(Sender, HomesMessage)>,
+    /// Requests of callers for a permit or the end of a program.
     pub requests: Vec<ProgramRequest>,
+    /// Releases of engine memory that upstreams have confirmed.
     pub confirmed_releases: Vec<Release>,
+    /// Timers that have expired.
     pub due: Vec<Timer>,
 }
 
--- a/crates/core/src/systems/homes/takeover.rs
+++ b/crates/core/src/systems/homes/takeover.rs
@@ -37,8 +37,8 @@
 
 /// Returns whether a view names this VM, with its present membership, as the home of a program.
 fn is_home_in(tick: &Tick<'_>, view: &View, key: &ProgramKey) -> bool {
-    let me = own_identity_in(tick, &tick.tables.view);
-    me.is_some() && home_in(view, key) == me
+    let own = own_identity_in(tick, &tick.tables.view);
+    own.is_some() && home_in(view, key) == own
 }
 
 /// Returns whether a VM is a member with the given incarnation.
@@ -120,7 +120,7 @@
     }
     let new = tick.tables.view.clone();
     let old = std::mem::replace(&mut tick.tables.homes.view, new.clone());
-    // The founder of the fleet knows that there were no homes before its first view.
+    // There were no homes before the first view of the fleet, which its founder wrote.
     if old.epoch > Epoch::default() || !tick.tables.membership.is_founder {
         let past = &mut tick.tables.homes.view_history;
         past.push_front(old.clone());
@@ -156,9 +156,9 @@
 /// Hands programs over to their new homes.
 ///
 /// New members, and all members if this VM leaves, get a message even without
-/// programs, so that they need not sit out the takeover wait.
+/// programs, so that they can skip the takeover wait.
 fn hand_over(tick: &mut Tick<'_>, old: &View, new: &View) {
-    let me = tick.settings.vm.clone();
+    let own_vm = tick.settings.vm.clone();
     if own_identity_in(tick, old).is_none() {
         return;
     }
@@ -166,7 +166,7 @@
     let mut by_home: BTreeMap<VmName, Vec<HandedProgram>> = new
         .members
         .iter()
-        .filter(|member| member.vm != me)
+        .filter(|member| member.vm != own_vm)
         .filter(|member| {
             let before = old.member(&member.vm);
             is_leaving || before.is_none_or(|before| before.joined != member.joined)
@@ -264,7 +264,7 @@
     }
 }
 
-/// Returns the rest of the takeover wait of this VM for the homes before it.
+/// Returns how much of the takeover wait for previous homes is left at this VM.
 ///
 /// It may have gained programs from members that were removed, and from every
 /// other member when it joined.
@@ -315,28 +315,28 @@
 }
 
 /// Installs the programs that their previous home hands over.
-pub(super) fn handle_hand_over(tick: &mut Tick<'_>, vm: &VmName, handed: HandOver) {
-    if handed.epoch > tick.tables.view.epoch {
+pub(super) fn handle_hand_over(tick: &mut Tick<'_>, vm: &VmName, hand_over: HandOver) {
+    if hand_over.epoch > tick.tables.view.epoch {
         // This VM has not seen the view that moves the programs here; the sender retries.
         return;
     }
-    let transfer = handed.transfer;
+    let transfer = hand_over.transfer;
     tick.send(vm, HomesMessage::Received { transfer });
-    for program in handed.programs {
+    for program in hand_over.programs {
         if is_home_in(tick, &tick.tables.view, &program.key) {
             install_row(tick, program);
         }
     }
-    for release in handed.releases {
+    for release in hand_over.releases {
         release::release(tick, release.upstream, release.program, release.generation);
     }
     record_hand_over(
         tick,
         vm,
         transfer,
-        handed.epoch,
-        handed.messages,
-        handed.wait_us,
+        hand_over.epoch,
+        hand_over.messages,
+        hand_over.wait_us,
     );
 }
 
--- a/crates/core/src/systems/homes/turn_order.rs
+++ b/crates/core/src/systems/homes/turn_order.rs
@@ -7,7 +7,7 @@
 use crate::output::{Execution, RefusalKind};
 use crate::tables::{FinishedTurn, Phase, Program};
 
-/// The response of a home to a `Begin`.
+/// What a home does with a call that asks for its turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum BeginDecision {
     /// The turn begins.
