--- a/crates/core/src/systems/orders/planning.rs
+++ b/crates/core/src/systems/orders/planning.rs
@@ -28,11 +28,11 @@
     tables.orders.retain(|name, _| services.contains_key(name));
     for (name, loads_per_min) in gained {
         let rate_mcalls_per_s = u64::from(loads_per_min) * 1_000 / 60;
-        let book = ServiceOrders {
+        let orders = ServiceOrders {
             loads: Bucket::full(rate_mcalls_per_s, NCALLS_PER_CALL, tick.now_us),
             ..ServiceOrders::default()
         };
-        tables.orders.insert(name.clone(), book);
+        tables.orders.insert(name.clone(), orders);
         tables.timers.set(tick.now_us, Timer::OrdersReview(name));
     }
 }
@@ -77,42 +77,42 @@
     view.orders_owner(service)
 }
 
-/// Sends an order to one engine if it needs one and none is open.
+/// Sends an order to one engine if it needs one and none is pending.
 fn plan_upstream(tick: &mut Tick<'_>, service: &ServiceName, upstream: &UpstreamName) {
     let (now_us, order_us) = (tick.now_us, tick.settings.order_ms * 1_000);
     let tables = &*tick.tables;
-    let Some(book) = tables.orders.get(service) else {
+    let Some(orders) = tables.orders.get(service) else {
         return;
     };
-    let is_open = book
+    let is_pending = orders
         .open
         .get(upstream)
-        .is_some_and(|open| now_us < open.sent_us + order_us);
-    if is_open {
+        .is_some_and(|pending| now_us < pending.sent_us + order_us);
+    if is_pending {
         return;
     }
     let Some(action) = next_action(tick, upstream) else {
         return;
     };
     let epoch = tables.view.epoch;
-    let Some(book) = tick.tables.orders.get_mut(service) else {
+    let Some(orders) = tick.tables.orders.get_mut(service) else {
         return;
     };
     // The weight store is rate-limited, so loads are spread over time.
-    if matches!(action, OrderAction::Load(_)) && !book.loads.try_take(now_us) {
+    if matches!(action, OrderAction::Load(_)) && !orders.loads.try_take(now_us) {
         return;
     }
-    book.seq += 1;
+    orders.seq += 1;
     let token = FencingToken {
         epoch,
-        seq: book.seq,
+        seq: orders.seq,
     };
-    let open = PendingOrder {
+    let pending = PendingOrder {
         token,
         action: action.clone(),
         sent_us: now_us,
     };
-    book.open.insert(upstream.clone(), open);
+    orders.open.insert(upstream.clone(), pending);
     send_order(tick, upstream, token, action);
 }
 
--- a/crates/core/src/systems/orders/results.rs
+++ b/crates/core/src/systems/orders/results.rs
@@ -27,7 +27,7 @@
     config::refresh_pools(tick, upstream);
 }
 
-/// Handles the result of an engine's open order; results of earlier orders are dropped.
+/// Handles the result of an engine's pending order; results of earlier orders are dropped.
 pub(super) fn handle_result(
     tick: &mut Tick<'_>,
     upstream: &UpstreamName,
@@ -40,25 +40,25 @@
         .iter()
         .find(|(_, service)| service.upstreams.iter().any(|u| u.name == *upstream))
         .map(|(name, _)| name.clone());
-    let book = service.and_then(|service| tick.tables.orders.get_mut(&service));
-    let Some(book) = book else {
+    let orders = service.and_then(|service| tick.tables.orders.get_mut(&service));
+    let Some(orders) = orders else {
         return;
     };
-    if book
+    if orders
         .open
         .get(upstream)
-        .is_none_or(|open| open.token != token)
+        .is_none_or(|pending| pending.token != token)
     {
         return;
     }
     match result {
         OrderResult::Done => {
-            book.open.remove(upstream);
+            orders.open.remove(upstream);
         }
-        // The order may still take effect, so it stays open until its maximum time has passed.
+        // The order may still take effect, so it stays pending until its maximum time has passed.
         OrderResult::Unknown => {}
         OrderResult::Stale => {
-            book.open.remove(upstream);
+            orders.open.remove(upstream);
             tick.decide(Decision::OrderStale {
                 upstream: upstream.clone(),
                 token,
--- a/crates/core/src/systems/outcomes/results.rs
+++ b/crates/core/src/systems/outcomes/results.rs
@@ -101,7 +101,7 @@
         .program
         .as_ref()
         .map_or(0, |program| program.turn);
-    let passed_tokens = call
+    let forwarded_tokens = call
         .relay
         .as_ref()
         .map_or(0, |relay| relay.forwarded_tokens);
@@ -111,7 +111,7 @@
         program: call.program_key().cloned().map(|key| (key, turn)),
         upstream: run.upstream,
         prompt_tokens,
-        answer_tokens: run.answer_tokens.max(passed_tokens),
+        answer_tokens: run.answer_tokens.max(forwarded_tokens),
         outcome: run.outcome,
     }
 }
--- a/crates/core/src/systems/outcomes/suspects.rs
+++ b/crates/core/src/systems/outcomes/suspects.rs
@@ -107,7 +107,7 @@
         .map(|lost| (lost.call, lost.vm.clone(), lost.digest))
         .collect();
     suspects.extend(mark_running_counted(tick, upstream));
-    let alone = lost
+    let exclusive = lost
         .iter()
         .find(|lost| lost.is_exclusive)
         .map(|lost| lost.digest);
@@ -129,7 +129,7 @@
             .map_or(0, |row| row.crashes);
         tick.send(&vm, PlacementMessage::Suspected { call, crashes });
     }
-    if let Some(digest) = alone {
+    if let Some(digest) = exclusive {
         quarantine::quarantine_on_all_vms(tick, digest);
     }
     if let Some(row) = tick.tables.upstreams.get_mut(upstream) {
--- a/crates/core/src/systems/placement/availability.rs
+++ b/crates/core/src/systems/placement/availability.rs
@@ -14,10 +14,10 @@
     };
     let limit_calls = u64::from(row.limit_calls(is_learned).max(1));
     let load_permille = u64::from(row.running_calls()) * 1_000 / limit_calls;
-    let listed = row
+    let open_load_permille = row
         .has_room(tick.now_us, is_learned)
         .then_some(load_permille);
-    if listed == row.open_load_permille {
+    if open_load_permille == row.open_load_permille {
         return;
     }
     for pool in &row.pools {
@@ -27,11 +27,11 @@
         if let Some(load) = row.open_load_permille {
             pool.available.remove(&(load, upstream.clone()));
         }
-        if let Some(load) = listed {
+        if let Some(load) = open_load_permille {
             pool.available.insert((load, upstream.clone()));
         }
     }
-    row.open_load_permille = listed;
+    row.open_load_permille = open_load_permille;
 }
 
 /// Updates the availability of an upstream and assigns waiting calls of its pools.
--- a/crates/core/src/systems/placement/exclusive.rs
+++ b/crates/core/src/systems/placement/exclusive.rs
@@ -124,7 +124,7 @@
         return;
     }
     let upstreams = &tick.tables.upstreams;
-    let runs_alone = |name: &UpstreamName| {
+    let runs_exclusively = |name: &UpstreamName| {
         let attempts = upstreams.get(name).map(|row| &row.attempts);
         attempts.is_some_and(|attempts| {
             attempts
@@ -136,7 +136,7 @@
     let freed: SmallVec<[UpstreamName; 2]> = row
         .reserved
         .iter()
-        .filter(|name| !runs_alone(name))
+        .filter(|name| !runs_exclusively(name))
         .cloned()
         .collect();
     for name in freed {
--- a/crates/core/src/systems/placement/hints.rs
+++ b/crates/core/src/systems/placement/hints.rs
@@ -23,11 +23,11 @@
     tick: &'a Tick<'_>,
     place: &'a Place,
 ) -> impl Iterator<Item = (&'a UpstreamName, u64)> {
-    let footprint = place
+    let history = place
         .program
         .as_ref()
         .and_then(|program| tick.tables.placement_histories.get(program));
-    let hints = footprint.map_or(&[][..], |footprint| &footprint.hints);
+    let hints = history.map_or(&[][..], |history| &history.hints);
     hints.iter().filter_map(|hint| {
         let row = tick.tables.upstreams.get(&hint.upstream)?;
         // A hint may belong to another pool: tool calls of a program use other upstreams.
@@ -42,7 +42,7 @@
     })
 }
 
-/// Records a complete attempt in the footprint of its program.
+/// Records a complete attempt in the placement history of its program.
 pub(super) fn record_completion(tick: &mut Tick<'_>, running: &RunningAttempt, finish: &Finish) {
     let Some(program) = &running.program else {
         return;
@@ -102,7 +102,7 @@
     row.hint_accuracy_percent = row.hint_accuracy_percent.max(20);
 }
 
-/// Returns the footprint of a program and restarts its idle time.
+/// Returns the placement history of a program and restarts its idle time.
 fn touch<'a>(tick: &'a mut Tick<'_>, program: &ProgramKey) -> &'a mut PlacementHistory {
     let now_us = tick.now_us;
     if !tick.tables.placement_histories.contains_key(program) {
@@ -118,7 +118,7 @@
     row
 }
 
-/// Removes the footprint of a program that has had no calls for a program lease.
+/// Removes the placement history of a program without calls for a program lease.
 pub(super) fn expire_history(tick: &mut Tick<'_>, program: ProgramKey) {
     let Some(row) = tick.tables.placement_histories.get(&program) else {
         return;
--- a/crates/core/src/systems/placement/owner.rs
+++ b/crates/core/src/systems/placement/owner.rs
@@ -44,8 +44,8 @@
         assign(tick, &pool);
         schedule_aging(tick, &pool, attempt);
     }
-    let waits = |row: &crate::tables::Pool| row.is_waiting(&attempt);
-    if is_remote && tick.tables.pools.get(&pool).is_some_and(waits) {
+    let is_waiting = |row: &crate::tables::Pool| row.is_waiting(&attempt);
+    if is_remote && tick.tables.pools.get(&pool).is_some_and(is_waiting) {
         tick.send(&sender.vm, PlacementMessage::Queued { attempt });
     }
 }
@@ -188,16 +188,16 @@
     tick: &mut Tick<'_>,
     waiting: QueuedCall,
     chosen: SelectedUpstream,
-    alone: bool,
+    is_exclusive: bool,
 ) {
     let now_us = tick.now_us;
     let place = waiting.place;
     let attempt = place.attempt;
-    let booked = book_service(tick, &place, chosen.cached_tokens);
+    let booked_service = book_service(tick, &place, chosen.cached_tokens);
     let mut prefill_wait_us = 0;
     if let Some(row) = tick.tables.upstreams.get_mut(&chosen.upstream) {
         row.attempts.insert(attempt);
-        row.has_exclusive_call |= alone;
+        row.has_exclusive_call |= is_exclusive;
         row.peak_calls[0] = row.peak_calls[0].max(row.attempts.len() as u32);
         let read_tokens = place.prompt_tokens.saturating_sub(chosen.cached_tokens);
         let from_us = row.prefill_until_us.max(now_us);
@@ -214,11 +214,11 @@
         account: place.account,
         program: place.program,
         digest: place.digest,
-        is_exclusive: alone,
+        is_exclusive,
         placed_us: now_us,
         prefill_wait_us,
         expected_cached_tokens: chosen.cached_tokens,
-        booked_service: booked,
+        booked_service,
         is_counted_in_crash: false,
     };
     tick.tables.running.insert(attempt, running);
@@ -258,11 +258,11 @@
     };
     let answer_tokens = answer_tokens.min(place.max_tokens);
     let service = queue_order::service_units(place.prompt_tokens, cached_tokens, answer_tokens);
-    let booked = queue_order::weighted_service(tick, &place.account, service);
+    let booked_service = queue_order::weighted_service(tick, &place.account, service);
     if let Some(row) = tick.tables.pools.get_mut(&place.pool) {
-        row.queue.add_service(&lane, booked);
+        row.queue.add_service(&lane, booked_service);
     }
-    booked
+    booked_service
 }
 
 /// Removes a waiting call, or releases its upstream if it was placed in the meantime.
--- a/crates/core/src/systems/placement/queue_order.rs
+++ b/crates/core/src/systems/placement/queue_order.rs
@@ -81,7 +81,7 @@
     };
     let root = super::hints::root_of(program);
     let known = tick.tables.placement_histories.get(&root);
-    let known_tokens = known.map_or(0, |footprint| footprint.attained_tokens);
+    let known_tokens = known.map_or(0, |history| history.attained_tokens);
     known_tokens.max(place.spent_tokens)
 }
 
