--- a/crates/core/src/systems/admission/mod.rs
+++ b/crates/core/src/systems/admission/mod.rs
@@ -64,16 +64,16 @@
 const MAX_DENY_CONFIG_AGE_US: u64 = 2_000_000;
 
 /// Resolves and authenticates a new call, and refuses it or moves it to its first stage.
-fn handle_arrival(tick: &mut Tick<'_>, new: NewCall) {
-    let id = new.id;
-    let admitted = find_route(tick, &new).and_then(|route| {
+fn handle_arrival(tick: &mut Tick<'_>, request: NewCall) {
+    let id = request.id;
+    let admitted = find_route(tick, &request).and_then(|route| {
         // On an open route, the key of a relayed call is ignored.
         let is_keyless = route.open && route.host.is_some();
-        let key = new.key.as_ref().filter(|_| !is_keyless);
+        let key = request.key.as_ref().filter(|_| !is_keyless);
         let account = authenticate(tick, key, route.open)?;
         // Checked after the key, so that callers without one can't probe which contents are
         // quarantined.
-        if tick.tables.quarantine.contains_key(&new.digest) {
+        if tick.tables.quarantine.contains_key(&request.digest) {
             return Err(RefusalKind::Quarantined);
         }
         Ok((route, account))
@@ -81,12 +81,12 @@
     let (route, account) = match admitted {
         Ok(admitted) => admitted,
         Err(kind) => {
-            let kind = soften_denial(tick, &new, kind);
+            let kind = soften_denial(tick, &request, kind);
             report_refusal(tick, id, kind, Execution::NotRun, None);
             return;
         }
     };
-    let program = match (&account, &new.program) {
+    let program = match (&account, &request.program) {
         (Some(account), Some(program)) => Some(ProgramKey {
             account: account.clone(),
             name: program.name.clone(),
@@ -94,7 +94,7 @@
         _ => None,
     };
     let needs_permit = !route.idempotent && route.host.is_none();
-    if needs_permit && (program.is_none() || new.permit.is_none()) {
+    if needs_permit && (program.is_none() || request.permit.is_none()) {
         report_refusal(
             tick,
             id,
@@ -106,7 +106,7 @@
     }
     let relay = route
         .host
-        .map(|host| build_relay(tick, &new, host, account.as_ref()));
+        .map(|host| build_relay(tick, &request, host, account.as_ref()));
     if let Some(program) = find_stopped_program(tick, relay.as_deref()) {
         budgets::report_uncovered(tick, &program, id);
         report_refusal(tick, id, RefusalKind::OverBudget, Execution::NotRun, None);
@@ -137,7 +137,7 @@
         placement: Default::default(),
         begins_program,
         relay,
-        request: new,
+        request,
     };
     let has_account = call.account.is_some();
     tick.tables.calls.insert(id, call);
@@ -149,14 +149,14 @@
 }
 
 /// Refuses as `Isolated` instead of denying if the configuration is too old for a denial.
-fn soften_denial(tick: &Tick<'_>, new: &NewCall, kind: RefusalKind) -> RefusalKind {
+fn soften_denial(tick: &Tick<'_>, request: &NewCall, kind: RefusalKind) -> RefusalKind {
     let is_denial = matches!(
         kind,
         RefusalKind::RouteUnknown | RefusalKind::ModelUnknown | RefusalKind::KeyUnknown
     );
     let age_us = tick.tables.source.config.age_us(tick.now_us);
     let is_old = age_us.is_none_or(|age_us| age_us > MAX_DENY_CONFIG_AGE_US);
-    if new.relayed.is_some() && is_denial && is_old {
+    if request.relayed.is_some() && is_denial && is_old {
         RefusalKind::Isolated
     } else {
         kind
@@ -186,11 +186,11 @@
 /// Builds the state that only relayed calls have.
 fn build_relay(
     tick: &Tick<'_>,
-    new: &NewCall,
+    request: &NewCall,
     route: Arc<HostRoute>,
     account: Option<&AccountName>,
 ) -> Box<RelayState> {
-    let relayed = new.relayed.as_deref();
+    let relayed = request.relayed.as_deref();
     let row = account.and_then(|account| tick.tables.accounts.get(account));
     let priority = row.and_then(|row| row.config.priority);
     let timeout_us = tick.now_us + route.timeout_ms * 1_000;
@@ -218,9 +218,9 @@
 }
 
 /// Resolves the target of a call to its pool and route.
-fn find_route(tick: &Tick<'_>, new: &NewCall) -> Result<ResolvedRoute, RefusalKind> {
-    match &new.target {
-        Target::Host { host, path } => find_host_route(tick, new, host, path),
+fn find_route(tick: &Tick<'_>, request: &NewCall) -> Result<ResolvedRoute, RefusalKind> {
+    match &request.target {
+        Target::Host { host, path } => find_host_route(tick, request, host, path),
         Target::Model(model) => {
             let service = tick.tables.models.get(model);
             let service = service.ok_or(RefusalKind::ModelUnknown)?;
@@ -259,7 +259,7 @@
 /// Resolves the host and path of a relayed call to its pool and route.
 fn find_host_route(
     tick: &Tick<'_>,
-    new: &NewCall,
+    request: &NewCall,
     host: &Arc<str>,
     path: &str,
 ) -> Result<ResolvedRoute, RefusalKind> {
@@ -272,7 +272,7 @@
         .iter()
         .find(|route| path.starts_with(&*route.path_prefix))
         .ok_or(RefusalKind::RouteUnknown)?;
-    let relayed = new.relayed.as_deref();
+    let relayed = request.relayed.as_deref();
     let spread = relayed.map_or(0, |relayed| relayed.spread);
     let service = route
         .select_backend(spread)
--- a/crates/core/src/systems/budgets/mod.rs
+++ b/crates/core/src/systems/budgets/mod.rs
@@ -151,9 +151,9 @@
         return;
     };
     let budget_tokens = relay.budget_tokens.unwrap_or_default();
-    let keep_us = relay.route.program_keep_ms.unwrap_or(DEFAULT_RETENTION_MS) * 1_000;
+    let retention_us = relay.route.program_keep_ms.unwrap_or(DEFAULT_RETENTION_MS) * 1_000;
     let round = tick.tables.peering.next_round();
-    let row = get_or_create_row(tick, program, keep_us);
+    let row = get_or_create_row(tick, program, retention_us);
     row.last_used_us = now_us;
     if row.budget_tokens > 0 {
         return;
@@ -170,15 +170,15 @@
 fn get_or_create_row<'a>(
     tick: &'a mut Tick<'_>,
     program: &ProgramKey,
-    keep_us: u64,
+    retention_us: u64,
 ) -> &'a mut Budget {
     let now_us = tick.now_us;
     if !tick.tables.budgets.contains_key(program) {
         let timer = Timer::BudgetIdle(program.clone());
-        tick.tables.timers.set(now_us + keep_us, timer);
+        tick.tables.timers.set(now_us + retention_us, timer);
         let knowledge = tick.tables.source.knowledge;
         let row = Budget {
-            retention_us: keep_us,
+            retention_us,
             last_used_us: now_us,
             losses: knowledge.losses(now_us).unwrap_or(u32::MAX),
             ..Budget::default()
@@ -279,7 +279,7 @@
     let Some(row) = tick.tables.budgets.get_mut(program) else {
         return;
     };
-    row.settle(cover, call.request.max_tokens, relay.forwarded_tokens);
+    row.settle_turn(cover, call.request.max_tokens, relay.forwarded_tokens);
     let spent = row.spent_by(vm, incarnation) + relay.forwarded_tokens;
     row.set_spent(vm, incarnation, spent);
     row.last_used_us = now_us;
--- a/crates/core/src/systems/config/listing.rs
+++ b/crates/core/src/systems/config/listing.rs
@@ -47,7 +47,7 @@
     }
     put_in_force(tick, list);
     if let Some(read_us) = read_us {
-        tick.tables.source.list.note(read_us);
+        tick.tables.source.list.record_read(read_us);
     }
 }
 
--- a/crates/core/src/systems/homes/wait_queue.rs
+++ b/crates/core/src/systems/homes/wait_queue.rs
@@ -21,7 +21,7 @@
         is_attached,
         next: program.first_wait.replace(call),
     };
-    tick.tables.homes.waits.insert(call, wait);
+    tick.tables.homes.waiting_calls.insert(call, wait);
     if !is_attached {
         let due_us = tick.now_us + tick.settings.turn_wait_ms * 1_000;
         tick.tables.timers.set(due_us, Timer::TurnWait(call));
@@ -31,14 +31,14 @@
 
 /// Records the `sent_us` of a resent `Begin`; returns whether its call is waiting.
 pub(super) fn refresh(tick: &mut Tick<'_>, begin: &Begin) -> bool {
-    let wait = tick.tables.homes.waits.get_mut(&begin.call);
+    let wait = tick.tables.homes.waiting_calls.get_mut(&begin.call);
     wait.map(|wait| wait.begin.sent_us = wait.begin.sent_us.max(begin.sent_us))
         .is_some()
 }
 
 /// Removes a call from the waiting calls of its program.
 pub(super) fn remove(tick: &mut Tick<'_>, call: CallId) -> Option<WaitingCall> {
-    let waits = &mut tick.tables.homes.waits;
+    let waits = &mut tick.tables.homes.waiting_calls;
     let wait = waits.remove(&call)?;
     let Some(program) = tick.tables.programs.get_mut(&wait.begin.program) else {
         return Some(wait);
@@ -63,7 +63,7 @@
     let program = tick.tables.programs.get_mut(key);
     let mut next = program.and_then(|program| program.first_wait.take());
     let mut taken = Vec::new();
-    while let Some(wait) = next.and_then(|call| tick.tables.homes.waits.remove(&call)) {
+    while let Some(wait) = next.and_then(|call| tick.tables.homes.waiting_calls.remove(&call)) {
         next = wait.next;
         taken.push(wait);
     }
@@ -80,7 +80,7 @@
 
 /// Denies a call whose time to wait for earlier turns is over.
 pub(super) fn expire(tick: &mut Tick<'_>, call: CallId) {
-    let wait = tick.tables.homes.waits.get(&call);
+    let wait = tick.tables.homes.waiting_calls.get(&call);
     if wait.is_none_or(|wait| wait.is_attached) {
         return;
     }
--- a/crates/core/src/systems/homes/witness.rs
+++ b/crates/core/src/systems/homes/witness.rs
@@ -36,10 +36,10 @@
         is_ended: false,
         idle_ms: 0,
     };
-    let seen_us = now_us;
+    let last_seen_us = now_us;
     let record = WitnessRecord {
         witness,
-        last_seen_us: seen_us,
+        last_seen_us,
     };
     if tick
         .tables
--- a/crates/core/src/systems/membership/answers.rs
+++ b/crates/core/src/systems/membership/answers.rs
@@ -53,7 +53,7 @@
     }
     row.heartbeat_request = Some(HeartbeatRequest {
         round: heartbeat.round,
-        at_us: now_us,
+        arrived_us: now_us,
         answered_us: before.map_or(0, |asked| asked.answered_us),
         sent_confirmation_us: before.map_or(0, |asked| asked.sent_confirmation_us),
         sent_revision: heartbeat.revision,
@@ -99,7 +99,7 @@
     asked.sent_confirmation_us = confirmed_us.unwrap_or(0);
     asked.sent_revision = tables.fleet.revision;
     asked.sent_promise = promises;
-    let age_us = |moment_us: u64| asked.at_us as i64 - moment_us as i64;
+    let age_us = |moment_us: u64| asked.arrived_us as i64 - moment_us as i64;
     let answer = HeartbeatAnswer {
         round: asked.round,
         epoch: tables.view.epoch,
@@ -169,7 +169,7 @@
         let Some(asked) = row.heartbeat_request else {
             return false;
         };
-        let is_recent = now_us.saturating_sub(asked.at_us) < kept_us;
+        let is_recent = now_us.saturating_sub(asked.arrived_us) < kept_us;
         let is_confirmed = confirmed_us >= asked.sent_confirmation_us + step_us;
         let is_first = promises && !asked.sent_promise;
         let is_promised = promises && now_us >= asked.answered_us + step_us;
--- a/crates/core/src/systems/membership/views.rs
+++ b/crates/core/src/systems/membership/views.rs
@@ -158,7 +158,7 @@
         .filter(|(_, row)| row.epoch.max(row.sent_epoch) < epoch)
         .filter(|(_, row)| {
             row.heartbeat_request
-                .is_some_and(|asked| asked.at_us >= oldest_us)
+                .is_some_and(|asked| asked.arrived_us >= oldest_us)
         })
         .map(|(vm, row)| (vm.clone(), row.epoch.max(row.sent_epoch)))
         .collect();
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -123,7 +123,7 @@
     if summary.revision <= tables.fleet.revision
         && let Some(read_us) = read_us(summary.config_age_us)
     {
-        tables.source.config.note(read_us);
+        tables.source.config.record_read(read_us);
     }
     // The store's revision grows constantly, so lists are compared by digest.
     let stamp = &mut tables.source.stamp;
@@ -131,7 +131,7 @@
         && let Some(read_us) = read_us(summary.list_age_us)
     {
         stamp.revision = stamp.revision.max(summary.list.revision);
-        tables.source.list.note(read_us);
+        tables.source.list.record_read(read_us);
     }
 }
 
@@ -145,12 +145,12 @@
         let known = peer.admitted.get_or_insert_with(account, || 0);
         let calls = total.saturating_sub(*known);
         *known = (*known).max(*total);
-        if peer.is_counted {
+        if peer.has_admitted_baseline {
             rates::debit_remote_calls(tick, account, calls * NCALLS_PER_CALL);
         }
     }
     if let Some(peer) = tick.tables.peering.peers.get_mut(&summary.from) {
-        peer.is_counted = true;
+        peer.has_admitted_baseline = true;
     }
 }
 
@@ -183,7 +183,7 @@
         if revision >= tick.tables.fleet.revision
             && let Some(read_us) = read_us(snapshot.config_age_us)
         {
-            tick.tables.source.config.note(read_us);
+            tick.tables.source.config.record_read(read_us);
         }
     }
     let source = &mut tick.tables.source;
--- a/crates/core/src/systems/placement/exclusive.rs
+++ b/crates/core/src/systems/placement/exclusive.rs
@@ -25,10 +25,10 @@
 /// are refused; those that must be held or are no longer suspect are moved.
 fn take_ready(tick: &mut Tick<'_>, pool: &PoolKey) -> Option<QueuedCall> {
     let row = tick.tables.pools.get(pool)?;
-    let waiting = row.alone.front()?;
+    let waiting = row.exclusive.front()?;
     let digest = waiting.place.digest;
     if tick.tables.quarantine.contains_key(&digest) {
-        let waiting = tick.tables.pools.get_mut(pool)?.alone.pop_front()?;
+        let waiting = tick.tables.pools.get_mut(pool)?.exclusive.pop_front()?;
         owner::refuse(tick, waiting, RefusalKind::Quarantined);
         return take_ready(tick, pool);
     }
@@ -36,13 +36,13 @@
     let suspect = suspect.unwrap_or_default();
     if !suspect.must_run_exclusively() {
         // The content completed elsewhere and is no longer suspect.
-        let waiting = tick.tables.pools.get_mut(pool)?.alone.pop_front()?;
+        let waiting = tick.tables.pools.get_mut(pool)?.exclusive.pop_front()?;
         availability::push(tick, waiting);
         return take_ready(tick, pool);
     }
     if suspect.running > 0 || suspect.pending_examinations > 0 {
         let row = tick.tables.pools.get_mut(pool)?;
-        let waiting = row.alone.pop_front()?;
+        let waiting = row.exclusive.pop_front()?;
         row.held.entry(digest).or_default().push_back(waiting);
         return take_ready(tick, pool);
     }
@@ -51,7 +51,7 @@
         find_idle_reserved(tick, pool)
     });
     idle?;
-    tick.tables.pools.get_mut(pool)?.alone.pop_front()
+    tick.tables.pools.get_mut(pool)?.exclusive.pop_front()
 }
 
 /// Returns a usable reserved upstream on which this VM has placed no attempt.
@@ -71,7 +71,7 @@
     let Some(row) = tick.tables.pools.get_mut(pool) else {
         return;
     };
-    let waiting = row.alone.len() + count_busy_reserved(&tick.tables.upstreams, row);
+    let waiting = row.exclusive.len() + count_busy_reserved(&tick.tables.upstreams, row);
     let allowed = (row.upstreams.len() / 2).max(1).min(waiting);
     if row.reserved.len() >= allowed {
         return;
@@ -120,7 +120,7 @@
     let Some(row) = tick.tables.pools.get(pool) else {
         return;
     };
-    if row.reserved.is_empty() || !row.alone.is_empty() {
+    if row.reserved.is_empty() || !row.exclusive.is_empty() {
         return;
     }
     let upstreams = &tick.tables.upstreams;
--- a/crates/core/src/systems/placement/owner.rs
+++ b/crates/core/src/systems/placement/owner.rs
@@ -168,7 +168,7 @@
     } else if is_held {
         row.held.entry(digest).or_default().push_back(waiting);
     } else {
-        row.alone.push_back(waiting);
+        row.exclusive.push_back(waiting);
         exclusive::assign(tick, pool);
     }
     true
--- a/crates/core/src/systems/rates/owner.rs
+++ b/crates/core/src/systems/rates/owner.rs
@@ -162,7 +162,7 @@
 fn apply_report(row: &mut OwnedAccount, holder: &Holder, demand: &Demand, now_us: u64) -> u64 {
     let weight = allocation::holder_weight(demand, row.limits.rate_mcalls_per_s);
     let mut returned_ncalls = 0;
-    row.change(holder, now_us, |loan| {
+    row.update(holder, now_us, |loan| {
         loan.demand_seq = demand.seq;
         loan.demand_sent_us = demand.sent_us;
         loan.demand_arrived_us = now_us;
@@ -238,7 +238,7 @@
 fn enqueue(row: &mut OwnedAccount, holder: &Holder, now_us: u64) {
     let is_queued = row.loans.get(holder).is_none_or(|loan| loan.is_queued);
     if !is_queued {
-        row.change(holder, now_us, |loan| loan.is_queued = true);
+        row.update(holder, now_us, |loan| loan.is_queued = true);
         row.queue.push_back(holder.clone());
     }
 }
@@ -328,7 +328,7 @@
 /// Removes `holder`, the first in the queue.
 fn dequeue(row: &mut OwnedAccount, holder: &Holder, now_us: u64) {
     row.queue.pop_front();
-    row.change(holder, now_us, |loan| loan.is_queued = false);
+    row.update(holder, now_us, |loan| loan.is_queued = false);
 }
 
 /// Updates a loan to its next grant, which recalls `recall_ncalls`.
@@ -344,7 +344,7 @@
         (allocation::limits_after_recall(row, loan, recall_ncalls), 0)
     };
     row.reserve.level_ncalls -= moved_ncalls;
-    row.change(holder, now_us, |loan| {
+    row.update(holder, now_us, |loan| {
         loan.grant(next, moved_ncalls, recall_ncalls, now_us);
     });
 }
--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -81,18 +81,18 @@
             if let Some(fleet) = fleet {
                 config::offer(tick, fleet);
             }
-            tick.tables.source.config.note(asked_us);
+            tick.tables.source.config.record_read(asked_us);
         }
         SourceEvent::Upstreams { asked_us, list } => {
             answered(tick, &SourcePart::Upstreams);
             note_return(tick);
             config::adopt_read_list(tick, &list);
-            tick.tables.source.list.note(asked_us);
+            tick.tables.source.list.record_read(asked_us);
         }
         SourceEvent::Vms { relays, keepers } => {
             answered(tick, &SourcePart::Vms);
             let now_us = tick.now_us;
-            tick.tables.source.vms.note(now_us);
+            tick.tables.source.vms.record_read(now_us);
             tick.tables.source.keepers = Arc::new(keepers);
             peers::learn_vms(tick, relays);
             tick.work.peers.announce = true;
@@ -131,7 +131,7 @@
 /// Records an answer and resets the backoff.
 fn answered(tick: &mut Tick<'_>, part: &SourcePart) {
     if let Some(reading) = reading_of(tick, part) {
-        reading.asked_us = None;
+        reading.requested_us = None;
         reading.failures = 0;
         reading.retry_us = 0;
     }
@@ -145,7 +145,7 @@
     let now_us = tick.now_us;
     if let Some(reading) = reading_of(tick, part) {
         let pause_us = (RETRY_US << reading.failures.min(4)).min(MAX_RETRY_US);
-        reading.asked_us = None;
+        reading.requested_us = None;
         reading.failures += 1;
         reading.retry_us = now_us + pause_us;
     }
@@ -197,7 +197,7 @@
         let Some(reading) = reading_of(tick, &part) else {
             continue;
         };
-        reading.asked_us = Some(now_us);
+        reading.requested_us = Some(now_us);
         next_us = next_us.min(now_us + GIVE_UP_US);
         tick.outputs.push(Output::Source(request));
     }
@@ -239,6 +239,8 @@
 /// Returns when a part has to be read, after any backoff or pending request.
 fn due_us(reading: &ReadState, age_us: u64) -> u64 {
     let old_us = reading.read_us.map_or(0, |read_us| read_us + age_us);
-    let answer_us = reading.asked_us.map_or(0, |asked_us| asked_us + GIVE_UP_US);
+    let answer_us = reading
+        .requested_us
+        .map_or(0, |asked_us| asked_us + GIVE_UP_US);
     old_us.max(reading.retry_us).max(answer_us)
 }
--- a/crates/core/src/tables/budget.rs
+++ b/crates/core/src/tables/budget.rs
@@ -137,7 +137,7 @@
     }
 
     /// Takes note of the end of a turn on this VM.
-    pub fn settle(&mut self, cover: Coverage, turn_tokens: u64, used_tokens: u64) {
+    pub fn settle_turn(&mut self, cover: Coverage, turn_tokens: u64, used_tokens: u64) {
         match cover {
             Coverage::Free => self.running_tokens = self.running_tokens.saturating_sub(turn_tokens),
             Coverage::Reserved => self.reserved_tokens += turn_tokens.saturating_sub(used_tokens),
--- a/crates/core/src/tables/homes.rs
+++ b/crates/core/src/tables/homes.rs
@@ -26,7 +26,7 @@
     /// As home: the last states of programs that are over.
     pub tombstones: Table<ProgramKey, Tombstone>,
     /// As home: calls that wait for a turn.
-    pub waits: Table<CallId, WaitingCall>,
+    pub waiting_calls: Table<CallId, WaitingCall>,
     /// As home: requests to end a program that were carried out.
     pub ended_requests: Table<CallId, ()>,
     /// As home: releases of engine memory that are not confirmed.
--- a/crates/core/src/tables/loan.rs
+++ b/crates/core/src/tables/loan.rs
@@ -275,7 +275,7 @@
     }
 
     /// Changes a loan and brings totals and orders up to date.
-    pub fn change(&mut self, holder: &Holder, now_us: u64, change: impl FnOnce(&mut Loan)) {
+    pub fn update(&mut self, holder: &Holder, now_us: u64, change: impl FnOnce(&mut Loan)) {
         let Some(mut loan) = self.loans.get(holder).cloned() else {
             return;
         };
--- a/crates/core/src/tables/peer.rs
+++ b/crates/core/src/tables/peer.rs
@@ -38,7 +38,7 @@
     /// Calls of accounts that it has admitted.
     pub admitted: Table<AccountName, u64>,
     /// Whether `admitted` holds its totals; those of its first summary are no new calls.
-    pub is_counted: bool,
+    pub has_admitted_baseline: bool,
 }
 
 impl Peer {
@@ -57,7 +57,7 @@
             list: ListStamp::default(),
             running: Vec::new(),
             admitted: Table::default(),
-            is_counted: false,
+            has_admitted_baseline: false,
         }
     }
 
--- a/crates/core/src/tables/pool.rs
+++ b/crates/core/src/tables/pool.rs
@@ -19,7 +19,7 @@
     /// Calls whose content was in a crash, while a copy runs or the crash is examined.
     pub held: BTreeMap<ContentDigest, VecDeque<QueuedCall>>,
     /// Calls whose content was in two crashes; they run alone on an upstream.
-    pub alone: VecDeque<QueuedCall>,
+    pub exclusive: VecDeque<QueuedCall>,
     /// Upstreams kept free for a call that runs alone.
     pub reserved: BTreeSet<UpstreamName>,
     /// What retries the calls of this VM may still use.
@@ -35,7 +35,7 @@
     pub fn is_waiting(&self, attempt: &AttemptId) -> bool {
         let is_it = |waiting: &QueuedCall| waiting.place.attempt == *attempt;
         self.queue.get(attempt).is_some()
-            || self.alone.iter().any(is_it)
+            || self.exclusive.iter().any(is_it)
             || self.held.values().flatten().any(is_it)
     }
 
@@ -45,7 +45,7 @@
         if self.queue.remove(attempt).is_some() {
             return;
         }
-        self.alone.retain(is_other);
+        self.exclusive.retain(is_other);
         for held in self.held.values_mut() {
             held.retain(is_other);
         }
@@ -55,6 +55,6 @@
     /// Returns all calls that wait here.
     pub fn iter_waiting(&self) -> impl Iterator<Item = &QueuedCall> {
         let held = self.held.values().flatten();
-        self.queue.iter().chain(&self.alone).chain(held)
+        self.queue.iter().chain(&self.exclusive).chain(held)
     }
 }
--- a/crates/core/src/tables/source.rs
+++ b/crates/core/src/tables/source.rs
@@ -12,7 +12,7 @@
     /// When the latest answered request for it was sent, by any VM.
     pub read_us: Option<u64>,
     /// When the request that is under way was sent.
-    pub asked_us: Option<u64>,
+    pub requested_us: Option<u64>,
     /// Requests of this VM in a row without an answer.
     pub failures: u32,
     /// When it may be read again after a failure.
@@ -21,7 +21,7 @@
 
 impl ReadState {
     /// Takes note that an answer reflects the store at a moment or later.
-    pub fn note(&mut self, read_us: u64) {
+    pub fn record_read(&mut self, read_us: u64) {
         self.read_us = self.read_us.max(Some(read_us));
     }
 
@@ -32,7 +32,7 @@
 }
 
 /// Longest life of a program that is not stopped.
-const MAX_PROGRAM_LIFETIME_US: u64 = 10_000_000;
+const PROGRAM_LIFE_US: u64 = 10_000_000;
 
 /// What a VM knows of programs that ran before it started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -58,9 +58,7 @@
     pub fn losses(self, now_us: u64) -> Option<u32> {
         match self {
             Self::Pending => None,
-            Self::Known { counted_us, .. } if counted_us + MAX_PROGRAM_LIFETIME_US < now_us => {
-                Some(0)
-            }
+            Self::Known { counted_us, .. } if counted_us + PROGRAM_LIFE_US < now_us => Some(0),
             Self::Known { losses, .. } => Some(losses),
         }
     }
--- a/crates/core/src/tables/vm.rs
+++ b/crates/core/src/tables/vm.rs
@@ -27,7 +27,7 @@
     /// The round of heartbeats.
     pub round: u64,
     /// When it arrived.
-    pub at_us: u64,
+    pub arrived_us: u64,
     /// When it, or one before it, was last answered.
     pub answered_us: u64,
     /// The confirmation that was last passed on.
