--- a/crates/core/src/systems/homes/mod.rs
+++ b/crates/core/src/systems/homes/mod.rs
@@ -95,18 +95,18 @@
 }
 
 /// Dispatches a message from an entry VM or a home to its handler.
-fn handle_message(tick: &mut Tick<'_>, sender: &Sender, message: HomesMessage) {
+fn handle_message(tick: &mut Tick<'_>, from: &Sender, message: HomesMessage) {
     match message {
-        HomesMessage::Begin(begin) => home::handle_begin(tick, &sender.vm, begin),
-        HomesMessage::Settle(settle) => home::handle_settle(tick, &sender.vm, &settle),
+        HomesMessage::Begin(begin) => home::handle_begin(tick, &from.vm, begin),
+        HomesMessage::Settle(settle) => home::handle_settle(tick, &from.vm, &settle),
         HomesMessage::Gone { call, program, ran } => home::handle_gone(tick, call, &program, ran),
-        HomesMessage::PermitRequest(request) => permits::handle_request(tick, &sender.vm, &request),
+        HomesMessage::PermitRequest(request) => permits::handle_request(tick, &from.vm, &request),
         HomesMessage::End {
             request,
             program,
             generation,
-        } => lifecycle::handle_end(tick, &sender.vm, request, &program, generation),
-        HomesMessage::Began(began) => entry::handle_began(tick, &sender.vm, *began),
+        } => lifecycle::handle_end(tick, &from.vm, request, &program, generation),
+        HomesMessage::Began(began) => entry::handle_began(tick, &from.vm, *began),
         HomesMessage::Pending { call } => entry::handle_pending(tick, call),
         HomesMessage::Denied(denied) => entry::handle_denied(tick, denied),
         HomesMessage::Kept {
@@ -131,19 +131,15 @@
             continuation,
             permit,
         } => settlement::handle_settled(tick, call, continuation, permit),
-        HomesMessage::Probe { call, program } => {
-            entry::handle_probe(tick, &sender.vm, call, program);
-        }
-        HomesMessage::PermitIs { request, permit } => {
-            requests::handle_permit(tick, request, permit);
-        }
+        HomesMessage::Probe { call, program } => entry::handle_probe(tick, &from.vm, call, program),
+        HomesMessage::PermitIs { request, permit } => requests::send_permit(tick, request, permit),
         HomesMessage::Ended { request } => requests::handle_ended(tick, request),
         HomesMessage::Witness {
             transfer,
             epoch,
             witnesses,
-        } => witness::handle_witnesses(tick, &sender.vm, transfer, epoch, witnesses),
-        HomesMessage::HandOver(handed) => takeover::handle_hand_over(tick, &sender.vm, *handed),
+        } => witness::handle_witnesses(tick, &from.vm, transfer, epoch, witnesses),
+        HomesMessage::HandOver(handed) => takeover::handle_hand_over(tick, &from.vm, *handed),
         HomesMessage::Received { transfer } => takeover::handle_received(tick, transfer),
     }
 }
--- a/crates/core/src/systems/homes/requests.rs
+++ b/crates/core/src/systems/homes/requests.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Handles a permit issued by the home.
-pub(super) fn handle_permit(tick: &mut Tick<'_>, request: CallId, permit: Box<Permit>) {
+/// Sends a permit issued by the home to its caller.
+pub(super) fn send_permit(tick: &mut Tick<'_>, request: CallId, permit: Box<Permit>) {
     if tick.tables.homes.requests.remove(&request).is_some() {
         tick.outputs.push(Output::PermitIssued { request, permit });
     }
