--- a/crates/core/src/systems/homes/witness.rs
+++ b/crates/core/src/systems/homes/witness.rs
@@ -55,7 +55,7 @@
 
 /// Records the continuation that a call carries, unless a newer state is recorded.
 ///
-/// If the home that issued it is cut off, the next home needs it: it must not run an earlier
+/// If the home that issued it is isolated, the next home needs it: it must not run an earlier
 /// turn again for a call that waits at another VM.
 pub(super) fn record_carried_state(tick: &mut Tick<'_>, state: &Continuation) {
     let record = tick.tables.homes.witnesses.get(&state.program);
