--- a/crates/core/src/systems/placement/selection.rs
+++ b/crates/core/src/systems/placement/selection.rs
@@ -37,7 +37,7 @@
     Assign(SelectedUpstream),
     /// The call stays queued: no upstream has room, or a full one is worth waiting for.
     Wait,
-    /// The only allowed upstream is ejected for longer than the call may wait.
+    /// The only allowed upstream is ejected; ejections are assumed to outlast the wait of a call.
     Refuse,
 }
 
