--- a/crates/core/src/systems/config/listing.rs
+++ b/crates/core/src/systems/config/listing.rs
@@ -15,12 +15,12 @@
 ///
 /// Entries may expire during a store outage although their upstreams are running. They are kept
 /// until the upstreams have had time to register again.
-pub(crate) fn adopt_read_list(tick: &mut Tick<'_>, list: &UpstreamList) {
+pub(crate) fn adopt_store_list(tick: &mut Tick<'_>, list: &UpstreamList) {
     if list.revision < tick.tables.source.stamp.revision {
         return;
     }
     let mut effective = list.clone();
-    if may_have_lapsed(tick) {
+    if may_have_expired(tick) {
         let listed: HashSet<&UpstreamName> =
             list.upstreams.iter().map(|row| &row.config.name).collect();
         let in_force = tick.tables.source.upstreams.upstreams.iter();
@@ -30,29 +30,29 @@
             .upstreams
             .sort_by(|a, b| a.config.name.cmp(&b.config.name));
     }
-    put_in_force(tick, Arc::new(effective));
+    apply_list(tick, Arc::new(effective));
 }
 
 /// Returns whether entries may be missing because of a recent store outage.
-fn may_have_lapsed(tick: &Tick<'_>) -> bool {
+fn may_have_expired(tick: &Tick<'_>) -> bool {
     let relist_us = tick.settings.list_grace_ms * 1_000;
     let returned_us = tick.tables.source.list_resumed_us;
     returned_us.is_some_and(|returned_us| tick.now_us < returned_us + relist_us)
 }
 
 /// Applies a list received from another VM; `read_us` is when it was read from the store.
-pub(crate) fn adopt_list(tick: &mut Tick<'_>, list: Arc<UpstreamList>, read_us: Option<u64>) {
+pub(crate) fn adopt_peer_list(tick: &mut Tick<'_>, list: Arc<UpstreamList>, read_us: Option<u64>) {
     if list.revision < tick.tables.source.stamp.revision || list.revision == 0 {
         return;
     }
-    put_in_force(tick, list);
+    apply_list(tick, list);
     if let Some(read_us) = read_us {
         tick.tables.source.list.record_read(read_us);
     }
 }
 
 /// Puts a list in force and announces it to the other VMs if its upstreams changed.
-fn put_in_force(tick: &mut Tick<'_>, list: Arc<UpstreamList>) {
+fn apply_list(tick: &mut Tick<'_>, list: Arc<UpstreamList>) {
     let digest = digest(&list.upstreams);
     let before = tick.tables.source.stamp;
     let stamp = ListStamp {
@@ -65,7 +65,7 @@
     }
     tick.tables.source.upstreams = list;
     let fleet = tick.tables.fleet.clone();
-    let services = services(tick, &fleet.services);
+    let services = with_listed_upstreams(tick, &fleet.services);
     super::replace_services(tick, &services);
     let upstreams = &tick.tables.source.upstreams.upstreams;
     let leaving = upstreams.iter().filter(|row| row.config.leaving).count();
@@ -79,7 +79,10 @@
 }
 
 /// Returns the services with their upstreams taken from the list in force.
-pub(super) fn services(tick: &Tick<'_>, services: &[ServiceConfig]) -> Vec<ServiceConfig> {
+pub(super) fn with_listed_upstreams(
+    tick: &Tick<'_>,
+    services: &[ServiceConfig],
+) -> Vec<ServiceConfig> {
     let listed = &tick.tables.source.upstreams.upstreams;
     let with_upstreams = |service: &ServiceConfig| {
         let mut service = service.clone();
--- a/crates/core/src/systems/config/mod.rs
+++ b/crates/core/src/systems/config/mod.rs
@@ -4,7 +4,7 @@
 
 mod listing;
 
-pub(crate) use listing::{adopt_list, adopt_read_list};
+pub(crate) use listing::{adopt_peer_list, adopt_store_list};
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -25,12 +25,12 @@
     /// Published configurations, which may be older than the one in force.
     pub offered: Vec<Arc<FleetConfig>>,
     /// Revisions that other VMs have in force.
-    pub seen: Vec<(VmName, Revision)>,
+    pub reported_revisions: Vec<(VmName, Revision)>,
 }
 
 impl Work {
     pub fn is_empty(&self) -> bool {
-        self.messages.is_empty() && self.offered.is_empty() && self.seen.is_empty()
+        self.messages.is_empty() && self.offered.is_empty() && self.reported_revisions.is_empty()
     }
 }
 
@@ -38,20 +38,20 @@
 pub(crate) fn run(tick: &mut Tick<'_>) {
     let work = std::mem::take(&mut tick.work.config);
     for (sender, message) in work.messages {
-        handle(tick, &sender, message);
+        handle_message(tick, &sender, message);
     }
     for fleet in work.offered {
-        offer(tick, fleet);
+        adopt(tick, fleet);
     }
-    for (vm, revision) in work.seen {
-        note_revision(tick, &vm, revision);
+    for (vm, revision) in work.reported_revisions {
+        request_newer(tick, &vm, revision);
     }
 }
 
 /// Requests the configuration of another VM if it is newer.
 ///
 /// An unanswered request is repeated to the next VM that reports the revision.
-fn note_revision(tick: &mut Tick<'_>, vm: &VmName, revision: Revision) {
+fn request_newer(tick: &mut Tick<'_>, vm: &VmName, revision: Revision) {
     let now_us = tick.now_us;
     let again_us = tick.settings.heartbeat_ms * 1_000 / 2;
     let tables = &mut *tick.tables;
@@ -69,7 +69,7 @@
 }
 
 /// Handles a message from another VM.
-fn handle(tick: &mut Tick<'_>, sender: &Sender, message: ConfigMessage) {
+fn handle_message(tick: &mut Tick<'_>, sender: &Sender, message: ConfigMessage) {
     match message {
         ConfigMessage::ConfigRequest { in_force } => {
             if tick.tables.fleet.revision > in_force {
@@ -77,12 +77,12 @@
                 tick.send(&sender.vm, ConfigMessage::ConfigIs(fleet));
             }
         }
-        ConfigMessage::ConfigIs(fleet) => offer(tick, fleet),
+        ConfigMessage::ConfigIs(fleet) => adopt(tick, fleet),
     }
 }
 
 /// Puts a configuration in force if it is newer.
-pub(crate) fn offer(tick: &mut Tick<'_>, fleet: Arc<FleetConfig>) {
+pub(crate) fn adopt(tick: &mut Tick<'_>, fleet: Arc<FleetConfig>) {
     let in_force = tick.tables.fleet.revision;
     if fleet.revision <= in_force {
         if fleet.revision < in_force {
@@ -95,8 +95,8 @@
     }
     replace_accounts(tick, &fleet.accounts);
     if tick.settings.coordination == Coordination::Peers {
-        replace_services(tick, &listing::services(tick, &fleet.services));
-        replace_hosts(tick, &fleet.host_routes);
+        replace_services(tick, &listing::with_listed_upstreams(tick, &fleet.services));
+        replace_host_routes(tick, &fleet.host_routes);
         tick.work.peers.announce = true;
     } else {
         replace_services(tick, &fleet.services);
@@ -111,7 +111,7 @@
 }
 
 /// Replaces the host routes, with the longest path prefix first.
-fn replace_hosts(tick: &mut Tick<'_>, routes: &[HostRoute]) {
+fn replace_host_routes(tick: &mut Tick<'_>, routes: &[HostRoute]) {
     let hosts = &mut tick.tables.hosts;
     *hosts = Table::default();
     for route in routes {
--- a/crates/core/src/systems/membership/answers.rs
+++ b/crates/core/src/systems/membership/answers.rs
@@ -9,26 +9,26 @@
 use crate::tables::{HeartbeatRequest, Vm};
 
 /// Handles a heartbeat.
-pub(super) fn heartbeat(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
-    note_state(tick, sender, heartbeat);
-    views::note_epoch(tick, &sender.vm, heartbeat.epoch);
+pub(super) fn handle_heartbeat(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
+    record_sender_state(tick, sender, heartbeat);
+    views::request_newer(tick, &sender.vm, heartbeat.epoch);
     tick.work
         .config
-        .seen
+        .reported_revisions
         .push((sender.vm.clone(), heartbeat.revision));
     if heartbeat.leaving {
-        leaving::note(tick, sender);
+        leaving::record_leaving(tick, sender);
     }
     if heartbeat.asks {
-        note_asked(tick, sender, heartbeat);
+        record_request(tick, sender, heartbeat);
         if needs_answer(tick, sender, heartbeat) {
-            answer(tick, &sender.vm);
+            send_answer(tick, &sender.vm);
         }
     }
 }
 
 /// Records the sender's state from its heartbeat.
-fn note_state(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
+fn record_sender_state(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
     let now_us = tick.now_us;
     let row = tick
         .tables
@@ -41,7 +41,7 @@
 }
 
 /// Records a request, so that later updates can be sent as further answers to it.
-fn note_asked(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
+fn record_request(tick: &mut Tick<'_>, sender: &Sender, heartbeat: &Heartbeat) {
     let now_us = tick.now_us;
     let Some(row) = tick.tables.vms.get_mut(&sender.vm) else {
         return;
@@ -83,9 +83,9 @@
 }
 
 /// Answers the latest request of a VM.
-fn answer(tick: &mut Tick<'_>, vm: &VmName) {
+fn send_answer(tick: &mut Tick<'_>, vm: &VmName) {
     let now_us = tick.now_us;
-    let promises = leases::promise(tick);
+    let promises = leases::make_promise(tick);
     let tables = &mut *tick.tables;
     let confirmed_us = tables.lease.confirmed_us;
     let Some(asked) = tables
@@ -111,17 +111,17 @@
 }
 
 /// Handles an answer to a heartbeat.
-pub(super) fn answered(tick: &mut Tick<'_>, sender: &Sender, answer: &HeartbeatAnswer) {
+pub(super) fn handle_answer(tick: &mut Tick<'_>, sender: &Sender, answer: &HeartbeatAnswer) {
     let now_us = tick.now_us;
     if let Some(row) = tick.tables.vms.get_mut(&sender.vm) {
         row.last_heard_us = now_us;
         row.epoch = row.epoch.max(answer.epoch);
         row.revision = row.revision.max(answer.revision);
     }
-    views::note_epoch(tick, &sender.vm, answer.epoch);
+    views::request_newer(tick, &sender.vm, answer.epoch);
     tick.work
         .config
-        .seen
+        .reported_revisions
         .push((sender.vm.clone(), answer.revision));
     if answer.epoch > tick.tables.view.epoch {
         // A confirmation of a newer view does not confirm the one in force here.
@@ -132,10 +132,10 @@
         return;
     };
     if let Some(age_us) = answer.confirmed_age_us {
-        leases::confirm(tick, moment(asked_us, age_us, now_us));
+        leases::confirm(tick, local_time_us(asked_us, age_us, now_us));
     }
     if let Some(age_us) = answer.promise_age_us {
-        leases::note_promise(tick, sender, moment(asked_us, age_us, now_us));
+        leases::record_promise(tick, sender, local_time_us(asked_us, age_us, now_us));
     }
 }
 
@@ -145,7 +145,7 @@
 /// the arrival of the heartbeat, which was not before `asked_us`, when it was
 /// sent. A negative age, a time after the arrival, is shortened by 10% because
 /// the other clock may run faster by that much.
-fn moment(asked_us: u64, age_us: i64, now_us: u64) -> u64 {
+fn local_time_us(asked_us: u64, age_us: i64, now_us: u64) -> u64 {
     let moment_us = if age_us >= 0 {
         asked_us.saturating_sub(age_us.unsigned_abs())
     } else {
@@ -157,10 +157,10 @@
 /// Pushes a new confirmation, promise or revision to VMs that asked recently.
 ///
 /// A small fleet pushes only the first promise, since its members ask often.
-pub(super) fn push_news(tick: &mut Tick<'_>) {
+pub(super) fn push_updates(tick: &mut Tick<'_>) {
     let is_tree = tick.tables.membership.peers.is_tree;
     let now_us = tick.now_us;
-    let promises = leases::is_promising(tick);
+    let promises = leases::should_promise(tick);
     let tables = &*tick.tables;
     let confirmed_us = tables.lease.confirmed_us.unwrap_or(0);
     let step_us = tick.settings.touch_ms * 1_000 * 3 / 4;
@@ -183,6 +183,6 @@
         .map(|(vm, _)| vm.clone())
         .collect();
     for vm in waiting {
-        answer(tick, &vm);
+        send_answer(tick, &vm);
     }
 }
--- a/crates/core/src/systems/membership/joining.rs
+++ b/crates/core/src/systems/membership/joining.rs
@@ -7,10 +7,10 @@
 use crate::tables::Member;
 
 /// Time after which a join request that was not repeated expires.
-const JOIN_KEPT_US: u64 = 5_000_000;
+const JOIN_RETENTION_US: u64 = 5_000_000;
 
 /// Builds the member entry of this VM.
-pub(super) fn entry(tick: &Tick<'_>, joined: Epoch) -> Member {
+pub(super) fn own_member(tick: &Tick<'_>, joined: Epoch) -> Member {
     let settings = tick.settings;
     Member {
         vm: settings.vm.clone(),
@@ -25,7 +25,7 @@
 /// Sends a join request to the writers, at most once per touch interval.
 ///
 /// Does nothing if this VM is a member or draining.
-pub(super) fn ask(tick: &mut Tick<'_>) {
+pub(super) fn request_join(tick: &mut Tick<'_>) {
     let (now_us, settings) = (tick.now_us, tick.settings);
     let tables = &mut *tick.tables;
     let view = &tables.view;
@@ -41,14 +41,14 @@
     }
     tables.membership.join_sent_us = Some(now_us);
     let writers: Vec<VmName> = view.writers.to_vec();
-    let member = entry(tick, Epoch::default());
+    let member = own_member(tick, Epoch::default());
     for writer in writers {
         tick.send(&writer, MembershipMessage::Join(Box::new(member.clone())));
     }
 }
 
 /// Records the join request of a VM.
-pub(super) fn record(tick: &mut Tick<'_>, sender: &Sender, member: Member) {
+pub(super) fn record_join(tick: &mut Tick<'_>, sender: &Sender, member: Member) {
     if member.vm != sender.vm || member.incarnation != sender.incarnation {
         return;
     }
@@ -58,7 +58,7 @@
         .is_some()
     {
         // The sender is a member already: it missed the view that added it.
-        views::request(tick, &sender.vm, Epoch::default());
+        views::handle_request(tick, &sender.vm, Epoch::default());
         return;
     }
     let joins = &mut tick.tables.membership.join_requests;
@@ -66,8 +66,8 @@
 }
 
 /// Returns the VMs whose join requests have not expired.
-pub(super) fn wanted(tick: &Tick<'_>) -> Vec<Member> {
-    let oldest_us = tick.now_us.saturating_sub(JOIN_KEPT_US);
+pub(super) fn pending_joins(tick: &Tick<'_>) -> Vec<Member> {
+    let oldest_us = tick.now_us.saturating_sub(JOIN_RETENTION_US);
     let joins = tick.tables.membership.join_requests.values();
     joins
         .filter(|(_, at_us)| *at_us >= oldest_us)
--- a/crates/core/src/systems/membership/leases.rs
+++ b/crates/core/src/systems/membership/leases.rs
@@ -12,11 +12,11 @@
     if lease.confirmed_us.is_none_or(|known| known < moment_us) {
         lease.confirmed_us = Some(moment_us);
     }
-    refresh(tick);
+    update_expiry(tick);
 }
 
 /// Recomputes when the lease expires; a VM that is no member has no lease.
-pub(super) fn refresh(tick: &mut Tick<'_>) {
+pub(super) fn update_expiry(tick: &mut Tick<'_>) {
     let settings = tick.settings;
     let tables = &mut *tick.tables;
     let member = tables
@@ -32,7 +32,7 @@
 ///
 /// It should when the store does not answer it or the other writer. No promise
 /// is possible while a view sent to the store may still be written.
-pub(super) fn is_promising(tick: &Tick<'_>) -> bool {
+pub(super) fn should_promise(tick: &Tick<'_>) -> bool {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let store = &tables.membership.store;
     let writes = store.unresolved.is_some()
@@ -50,17 +50,17 @@
     // cause one: wait until a touch is half an interval overdue.
     let limit_us = settings.touch_ms * 1_000 * 3 / 2;
     let age_us = tables.lease.age_us(tick.now_us);
-    if age_us.is_some_and(|age_us| age_us < limit_us) && !is_kept_by_promises(tick) {
+    if age_us.is_some_and(|age_us| age_us < limit_us) && !is_extended_by_promises(tick) {
         return false;
     }
-    store.failures > 0 || is_touch_late(tick) || joins_promise(tick)
+    store.failures > 0 || is_touch_late(tick) || should_follow_promise(tick)
 }
 
 /// Returns whether promises rather than touches keep the lease alive.
-fn is_kept_by_promises(tick: &Tick<'_>) -> bool {
+fn is_extended_by_promises(tick: &Tick<'_>) -> bool {
     let membership = &tick.tables.membership;
     let promised = membership.store.failures > 0 && membership.promised_until_us > tick.now_us;
-    promised || joins_promise(tick)
+    promised || should_follow_promise(tick)
 }
 
 /// Returns whether a touch has been pending for half the touch interval.
@@ -76,15 +76,15 @@
 ///
 /// A writer whose update recently reached the store does not follow; otherwise
 /// two writers would renew each other's promises forever.
-fn joins_promise(tick: &Tick<'_>) -> bool {
+fn should_follow_promise(tick: &Tick<'_>) -> bool {
     let updated_us = tick.tables.membership.store.updated_us;
     let limit_us = tick.settings.touch_ms * 1_500;
     let is_updated = |at_us: u64| tick.now_us.saturating_sub(at_us) < limit_us;
-    !updated_us.is_some_and(is_updated) && hears_promise(tick)
+    !updated_us.is_some_and(is_updated) && has_recent_promise(tick)
 }
 
 /// Returns whether the other writer recently promised to write no view.
-pub(super) fn hears_promise(tick: &Tick<'_>) -> bool {
+pub(super) fn has_recent_promise(tick: &Tick<'_>) -> bool {
     let recent_us = tick.settings.heartbeat_ms * 2_500;
     let is_recent = |from_us: u64| tick.now_us.saturating_sub(from_us) < recent_us;
     let promises = &tick.tables.membership.promises;
@@ -94,8 +94,8 @@
 }
 
 /// Makes or renews a promise if the store does not answer; returns whether it did.
-pub(super) fn promise(tick: &mut Tick<'_>) -> bool {
-    if !is_promising(tick) {
+pub(super) fn make_promise(tick: &mut Tick<'_>) -> bool {
+    if !should_promise(tick) {
         return false;
     }
     let kept_us = CoreSettings::with_clock_margin_us(tick.settings.lease_ms);
@@ -109,7 +109,7 @@
 }
 
 /// Records a promise of a writer, valid from `from_us`.
-pub(super) fn note_promise(tick: &mut Tick<'_>, sender: &Sender, from_us: u64) {
+pub(super) fn record_promise(tick: &mut Tick<'_>, sender: &Sender, from_us: u64) {
     if !tick
         .tables
         .view
@@ -133,7 +133,7 @@
     // A restarted writer cannot promise on behalf of its previous incarnation.
     let is_restarted =
         is_writer && !view.is_writer_with_incarnation(&settings.vm, settings.incarnation);
-    if view.writers.is_empty() || is_restarted || (is_writer && !promise(tick)) {
+    if view.writers.is_empty() || is_restarted || (is_writer && !make_promise(tick)) {
         return;
     }
     let now_us = tick.now_us;
@@ -153,7 +153,7 @@
 }
 
 /// Removes promises of VMs that are not writers of the view in force.
-pub(super) fn keep_writers(tick: &mut Tick<'_>) {
+pub(super) fn remove_stale_promises(tick: &mut Tick<'_>) {
     let view = &tick.tables.view;
     let promises = &mut tick.tables.membership.promises;
     promises.retain(|(vm, _)| view.is_writer(vm));
--- a/crates/core/src/systems/membership/leaving.rs
+++ b/crates/core/src/systems/membership/leaving.rs
@@ -8,7 +8,7 @@
 use crate::tables::View;
 
 /// Starts draining this VM.
-pub(super) fn drain(tick: &mut Tick<'_>) {
+pub(super) fn start_drain(tick: &mut Tick<'_>) {
     if tick.tables.membership.departure.is_draining {
         return;
     }
@@ -26,11 +26,11 @@
     let vm = settings.vm.clone();
     let leaving = &mut tick.tables.membership.leaving;
     leaving.insert(vm, settings.incarnation);
-    rounds::tell_leaving(tick);
+    rounds::announce_leaving(tick);
 }
 
 /// Records that a member is leaving.
-pub(super) fn note(tick: &mut Tick<'_>, sender: &Sender) {
+pub(super) fn record_leaving(tick: &mut Tick<'_>, sender: &Sender) {
     let view = &tick.tables.view;
     if view
         .member_with_incarnation(&sender.vm, sender.incarnation)
@@ -45,7 +45,7 @@
 ///
 /// The last member leaves without a new view, since nobody could write the
 /// view that follows an empty one.
-fn is_last(view: &View, vm: &VmName) -> bool {
+fn is_only_member(view: &View, vm: &VmName) -> bool {
     view.members.len() == 1 && view.member(vm).is_some()
 }
 
@@ -53,10 +53,10 @@
 ///
 /// Unconfirmed hand-overs are abandoned after the takeover wait, when the new
 /// owners take over without them.
-pub(super) fn finish(tick: &mut Tick<'_>) {
+pub(super) fn finish_drain(tick: &mut Tick<'_>) {
     let wait_us = tick.settings.takeover_wait_us();
     let departure = &mut tick.tables.membership.departure;
-    if departure.is_draining && is_last(&tick.tables.view, &tick.settings.vm) {
+    if departure.is_draining && is_only_member(&tick.tables.view, &tick.settings.vm) {
         departure.has_left = true;
         return;
     }
@@ -79,7 +79,7 @@
 }
 
 /// Records that a removed member has stopped.
-pub(super) fn record(tick: &mut Tick<'_>, sender: &Sender, epoch: Epoch) {
+pub(super) fn record_left(tick: &mut Tick<'_>, sender: &Sender, epoch: Epoch) {
     let now_us = tick.now_us;
     let membership = &mut tick.tables.membership;
     membership
@@ -91,5 +91,5 @@
     {
         row.handed_over_us = Some(now_us);
     }
-    views::note_epoch(tick, &sender.vm, epoch);
+    views::request_newer(tick, &sender.vm, epoch);
 }
--- a/crates/core/src/systems/membership/mod.rs
+++ b/crates/core/src/systems/membership/mod.rs
@@ -31,7 +31,7 @@
     pub store: Vec<StoreEvent>,
     /// The platform's list of VMs, if a new one arrived.
     pub vm_list: Option<Vec<VmStatus>>,
-    pub due: Vec<Timer>,
+    pub due_timers: Vec<Timer>,
     /// Whether this VM was asked to leave the fleet.
     pub drain: bool,
     /// Whether a new configuration revision has to be sent to child VMs.
@@ -43,7 +43,7 @@
         self.messages.is_empty()
             && self.store.is_empty()
             && self.vm_list.is_none()
-            && self.due.is_empty()
+            && self.due_timers.is_empty()
             && !self.drain
             && !self.announce
     }
@@ -56,42 +56,44 @@
         return;
     }
     if work.drain {
-        leaving::drain(tick);
+        leaving::start_drain(tick);
     }
     if let Some(vms) = work.vm_list {
-        platform::handle(tick, vms);
+        platform::update_list(tick, vms);
     }
     for event in work.store {
-        store::handle(tick, event);
+        store::handle_event(tick, event);
     }
     for (sender, message) in work.messages {
-        handle(tick, &sender, message);
+        handle_message(tick, &sender, message);
     }
-    for timer in work.due {
+    for timer in work.due_timers {
         match timer {
             Timer::Heartbeat => rounds::run(tick),
             _ => tick.tables.membership.store.timer_us = None,
         }
     }
-    leaving::finish(tick);
-    answers::push_news(tick);
-    store::drive(tick);
+    leaving::finish_drain(tick);
+    answers::push_updates(tick);
+    store::send_due(tick);
 }
 
 /// Dispatches a message from another VM.
-fn handle(tick: &mut Tick<'_>, sender: &Sender, message: MembershipMessage) {
+fn handle_message(tick: &mut Tick<'_>, sender: &Sender, message: MembershipMessage) {
     match message {
-        MembershipMessage::Heartbeat(heartbeat) => answers::heartbeat(tick, sender, &heartbeat),
-        MembershipMessage::HeartbeatAnswer(answer) => answers::answered(tick, sender, &answer),
+        MembershipMessage::Heartbeat(heartbeat) => {
+            answers::handle_heartbeat(tick, sender, &heartbeat);
+        }
+        MembershipMessage::HeartbeatAnswer(answer) => answers::handle_answer(tick, sender, &answer),
         MembershipMessage::Suspect { vm, incarnation } => {
-            suspicion::record(tick, sender, vm, incarnation);
+            suspicion::record_report(tick, sender, vm, incarnation);
         }
-        MembershipMessage::Join(member) => joining::record(tick, sender, *member),
-        MembershipMessage::ViewRequest { known } => views::request(tick, &sender.vm, known),
+        MembershipMessage::Join(member) => joining::record_join(tick, sender, *member),
+        MembershipMessage::ViewRequest { known } => views::handle_request(tick, &sender.vm, known),
         MembershipMessage::ViewIs(view) => {
             views::adopt(tick, &view);
         }
         MembershipMessage::ViewChanges(deltas) => views::adopt_deltas(tick, sender, &deltas),
-        MembershipMessage::Left { epoch } => leaving::record(tick, sender, epoch),
+        MembershipMessage::Left { epoch } => leaving::record_left(tick, sender, epoch),
     }
 }
--- a/crates/core/src/systems/membership/peers.rs
+++ b/crates/core/src/systems/membership/peers.rs
@@ -14,19 +14,19 @@
 ///
 /// With a single watcher, a member that fails together with it would be
 /// unwatched.
-const WATCHERS: usize = 2;
+const WATCHER_COUNT: usize = 2;
 
 /// Seed that makes the ring's hashes differ from those that choose owners.
-const RING: u64 = 11;
+const RING_HASH_SEED: u64 = 11;
 
 /// Number of parents of each member of a larger fleet.
 ///
 /// A writer has only the other writer. With a single parent, its failure would
 /// let the leases of all its descendants expire before the next view.
-const PARENTS: usize = 2;
+const PARENT_COUNT: usize = 2;
 
 /// Chooses the peers of this VM in the view in force.
-pub(super) fn choose(tick: &mut Tick<'_>) {
+pub(super) fn choose_peers(tick: &mut Tick<'_>) {
     let view = &tick.tables.view;
     let me = &tick.settings.vm;
     let is_member = view
@@ -34,11 +34,11 @@
         .is_some();
     let now_us = tick.now_us;
     let mut peers = if !is_member {
-        outside(view, me)
+        non_member_peers(view, me)
     } else if view.members.len() <= MAX_ALL_TO_ALL {
-        all(view, me)
+        mesh_peers(view, me)
     } else {
-        tree(view, me, tick.settings.fan_out)
+        tree_peers(view, me, tick.settings.fan_out)
     };
     for (vm, since_us) in &mut peers.watched {
         // A member that was watched before keeps its silence timer.
@@ -55,13 +55,13 @@
     }
     let ring = ring(view);
     let at = ring.iter().position(|row| row == vm);
-    at.map_or_else(Vec::new, |at| after(&ring, at))
+    at.map_or_else(Vec::new, |at| successors(&ring, at))
 }
 
 /// Returns the peers of a VM that is no member: a few members, by hash.
-fn outside(view: &View, me: &VmName) -> HeartbeatPeers {
+fn non_member_peers(view: &View, me: &VmName) -> HeartbeatPeers {
     let mut members = others(view, me);
-    members.sort_by_key(|vm| hash_name(vm.as_str(), hash_name(me.as_str(), RING)));
+    members.sort_by_key(|vm| hash_name(vm.as_str(), hash_name(me.as_str(), RING_HASH_SEED)));
     members.truncate(MAX_ALL_TO_ALL);
     HeartbeatPeers {
         parents: members,
@@ -71,7 +71,7 @@
 }
 
 /// Returns the peers in a small fleet: all other members.
-fn all(view: &View, me: &VmName) -> HeartbeatPeers {
+fn mesh_peers(view: &View, me: &VmName) -> HeartbeatPeers {
     let others = others(view, me);
     HeartbeatPeers {
         parents: others.clone(),
@@ -86,14 +86,14 @@
 /// Members form a tree of pairs; both VMs of a pair are the parents of the
 /// members in the pairs below. The writers are the root pair. The fan-out
 /// covers parents, watchers and children.
-fn tree(view: &View, me: &VmName, fan_out: usize) -> HeartbeatPeers {
+fn tree_peers(view: &View, me: &VmName, fan_out: usize) -> HeartbeatPeers {
     let ring = ring(view);
     let at = ring.iter().position(|vm| vm == me).unwrap_or(0);
     let before = |step: usize| ring[(at + ring.len() - step) % ring.len()].clone();
     HeartbeatPeers {
         parents: parents(view, &ring, me, fan_out),
-        watchers: after(&ring, at),
-        watched: (1..=WATCHERS).map(|step| (before(step), 0)).collect(),
+        watchers: successors(&ring, at),
+        watched: (1..=WATCHER_COUNT).map(|step| (before(step), 0)).collect(),
         is_tree: true,
     }
 }
@@ -107,9 +107,11 @@
     let inner = ring.iter().filter(|vm| !view.is_writer(vm));
     let order: Vec<&VmName> = view.writers.iter().chain(inner).collect();
     let at = order.iter().position(|vm| *vm == me).unwrap_or(0);
-    let children = fan_out.saturating_sub(WATCHERS + PARENTS).max(PARENTS);
-    let pair = (at / PARENTS - 1) / (children / PARENTS);
-    order[pair * PARENTS..(pair + 1) * PARENTS]
+    let children = fan_out
+        .saturating_sub(WATCHER_COUNT + PARENT_COUNT)
+        .max(PARENT_COUNT);
+    let pair = (at / PARENT_COUNT - 1) / (children / PARENT_COUNT);
+    order[pair * PARENT_COUNT..(pair + 1) * PARENT_COUNT]
         .iter()
         .map(|vm| (*vm).clone())
         .collect()
@@ -120,15 +122,15 @@
     let mut ring: Vec<_> = view
         .members
         .iter()
-        .map(|member| (hash_name(member.vm.as_str(), RING), &member.vm))
+        .map(|member| (hash_name(member.vm.as_str(), RING_HASH_SEED), &member.vm))
         .collect();
     ring.sort_unstable();
     ring.into_iter().map(|(_, vm)| vm.clone()).collect()
 }
 
 /// Returns the members after a position in the ring, which watch the member there.
-fn after(ring: &[VmName], at: usize) -> Vec<VmName> {
-    (1..=WATCHERS)
+fn successors(ring: &[VmName], at: usize) -> Vec<VmName> {
+    (1..=WATCHER_COUNT)
         .map(|step| ring[(at + step) % ring.len()].clone())
         .collect()
 }
--- a/crates/core/src/systems/membership/platform.rs
+++ b/crates/core/src/systems/membership/platform.rs
@@ -10,19 +10,19 @@
 use crate::tables::hash_name;
 
 /// Additional delay for VMs that are no members, so that members replace the writers first.
-const OUTSIDER_DELAY_US: u64 = 8_000_000;
+const NON_MEMBER_DELAY_US: u64 = 8_000_000;
 
 /// Maximum jitter between VMs that may replace the writers.
-const SPREAD_US: u64 = 2_000_000;
+const JITTER_US: u64 = 2_000_000;
 
 /// Seed that makes the hashes of the jitter differ from others.
-const REPLACEMENT: u64 = 13;
+const JITTER_HASH_SEED: u64 = 13;
 
 /// Applies a new list from the platform.
 ///
 /// Only VMs that were listed before count as missing, since the list lags
 /// behind starting VMs.
-pub(super) fn handle(tick: &mut Tick<'_>, vms: Vec<VmStatus>) {
+pub(super) fn update_list(tick: &mut Tick<'_>, vms: Vec<VmStatus>) {
     let platform = &mut tick.tables.membership.platform;
     let leaving = vms.iter().filter(|status| status.leaving);
     platform.leaving = leaving.map(|status| status.vm.clone()).collect();
@@ -30,7 +30,7 @@
     platform.delisted = platform.seen.difference(&listed).cloned().collect();
     platform.seen.extend(listed.iter().cloned());
     platform.listed = Some(listed);
-    check_writers(tick);
+    update_writers_missing(tick);
 }
 
 /// Returns the silent members that the platform no longer lists.
@@ -38,7 +38,7 @@
 /// The list may be older than the VM's current incarnation, so a report of its
 /// silence is required as well. In a small fleet the writer receives heartbeats
 /// from every member and needs no report.
-pub(super) fn gone(tick: &Tick<'_>) -> BTreeSet<VmName> {
+pub(super) fn missing_members(tick: &Tick<'_>) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
     let hears_all = !tables.membership.peers.is_tree;
     let is_silent = |vm: &VmName| {
@@ -56,7 +56,7 @@
 fn is_alive(tick: &Tick<'_>, vm: &VmName) -> bool {
     let limit_us = tick.settings.suspect_ms * 1_000 / 2;
     let row = tick.tables.vms.get(vm);
-    suspicion::is_heard(tick, vm)
+    suspicion::heard_recently(tick, vm)
         && row.is_some_and(|row| tick.now_us.saturating_sub(row.last_heard_us) <= limit_us)
 }
 
@@ -64,13 +64,13 @@
 ///
 /// Only writers issue confirmations, so one within the lease time shows that a
 /// writer is alive, whatever the list says.
-pub(super) fn check_writers(tick: &mut Tick<'_>) {
+pub(super) fn update_writers_missing(tick: &mut Tick<'_>) {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let age_us = tables.lease.age_us(tick.now_us);
     let is_confirmed = age_us.is_some_and(|age_us| age_us <= settings.lease_ms * 1_000);
     let writers = &tables.view.writers;
     let all_gone =
-        !is_confirmed && !writers.is_empty() && writers.iter().all(|vm| is_gone(tick, vm));
+        !is_confirmed && !writers.is_empty() && writers.iter().all(|vm| has_ended(tick, vm));
     let since_us = &mut tick.tables.membership.writers_missing_since_us;
     if !all_gone {
         *since_us = None;
@@ -80,7 +80,7 @@
 }
 
 /// Returns whether a writer's process has ended: it was restarted, or its VM is no longer listed.
-fn is_gone(tick: &Tick<'_>, vm: &VmName) -> bool {
+fn has_ended(tick: &Tick<'_>, vm: &VmName) -> bool {
     let tables = &*tick.tables;
     let Some(member) = tables.view.member(vm) else {
         return true;
@@ -114,7 +114,7 @@
 ///
 /// By then the writers' last promises have expired. Jitter keeps the VMs from
 /// all writing at once.
-pub(super) fn replaces_writers_us(tick: &Tick<'_>) -> Option<u64> {
+pub(super) fn may_replace_writers_us(tick: &Tick<'_>) -> Option<u64> {
     let since_us = tick.tables.membership.writers_missing_since_us?;
     let settings = tick.settings;
     let is_member = tick
@@ -122,8 +122,8 @@
         .view
         .member_with_incarnation(&settings.vm, settings.incarnation)
         .is_some();
-    let outside_us = if is_member { 0 } else { OUTSIDER_DELAY_US };
-    let spread_us = hash_name(settings.vm.as_str(), REPLACEMENT) % SPREAD_US;
+    let outside_us = if is_member { 0 } else { NON_MEMBER_DELAY_US };
+    let spread_us = hash_name(settings.vm.as_str(), JITTER_HASH_SEED) % JITTER_US;
     let wait_us = CoreSettings::with_clock_margin_us(settings.lease_ms);
     Some(since_us + wait_us + outside_us + spread_us)
 }
--- a/crates/core/src/systems/membership/rounds.rs
+++ b/crates/core/src/systems/membership/rounds.rs
@@ -7,27 +7,27 @@
 use crate::tables::{Timer, hash_name};
 
 /// Rounds whose answers are accepted; later answers could not extend a lease.
-const KEPT_ROUNDS: usize = 16;
+const MAX_ROUNDS: usize = 16;
 
 /// Number of configured peers that are asked for the view in each round.
-const ASKED_PEERS: usize = 3;
+const QUERIED_PEERS: usize = 3;
 
 /// Starts the next round.
 pub(super) fn run(tick: &mut Tick<'_>) {
     begin_round(tick);
     if tick.tables.view.epoch.0 == 0 {
-        ask_settings_peers(tick);
+        query_configured_peers(tick);
         return;
     }
     send_heartbeats(tick);
     if tick.tables.membership.departure.is_draining {
-        tell_leaving(tick);
+        announce_leaving(tick);
     }
     leases::extend_by_promises(tick);
-    joining::ask(tick);
-    suspicion::check(tick);
-    platform::check_writers(tick);
-    views::forget_old(tick);
+    joining::request_join(tick);
+    suspicion::report_silent(tick);
+    platform::update_writers_missing(tick);
+    views::expire_records(tick);
 }
 
 /// Assigns the round its number and schedules the next one.
@@ -42,7 +42,7 @@
     }
     membership.round += 1;
     membership.sent_rounds.push_back((membership.round, now_us));
-    if membership.sent_rounds.len() > KEPT_ROUNDS {
+    if membership.sent_rounds.len() > MAX_ROUNDS {
         membership.sent_rounds.pop_front();
     }
     let due_us = now_us + settings.heartbeat_ms * 1_000;
@@ -53,11 +53,11 @@
 ///
 /// Rounds rotate through the peers: asking all at once would return the view,
 /// which is large in a large fleet, once per peer.
-fn ask_settings_peers(tick: &mut Tick<'_>) {
+fn query_configured_peers(tick: &mut Tick<'_>) {
     let peers = &tick.settings.peers;
-    let first = tick.tables.membership.round as usize * ASKED_PEERS;
+    let first = tick.tables.membership.round as usize * QUERIED_PEERS;
     let known = tick.tables.view.epoch;
-    for step in 0..ASKED_PEERS.min(peers.len()) {
+    for step in 0..QUERIED_PEERS.min(peers.len()) {
         let peer = &peers[(first + step) % peers.len()];
         if *peer != tick.settings.vm {
             tick.send(peer, MembershipMessage::ViewRequest { known });
@@ -68,17 +68,17 @@
 /// Sends heartbeats to the VMs that watch this one and to its parents.
 fn send_heartbeats(tick: &mut Tick<'_>) {
     let peers = tick.tables.membership.peers.clone();
-    let asks_parents = !peers.is_tree || is_parents_turn(tick);
-    let asks_all = is_lease_old(tick);
+    let asks_parents = !peers.is_tree || is_parent_round(tick);
+    let asks_all = is_lease_near_expiry(tick);
     if asks_parents || asks_all {
         for vm in &peers.parents {
-            send(tick, vm, true);
+            send_heartbeat(tick, vm, true);
         }
     }
     for vm in &peers.watchers {
         let is_sent = (asks_parents || asks_all) && peers.parents.contains(vm);
         if !is_sent {
-            send(tick, vm, asks_all);
+            send_heartbeat(tick, vm, asks_all);
         }
     }
 }
@@ -86,14 +86,14 @@
 /// Returns whether this round asks the parents for a confirmation.
 ///
 /// Large fleets ask once per touch interval.
-fn is_parents_turn(tick: &Tick<'_>) -> bool {
+fn is_parent_round(tick: &Tick<'_>) -> bool {
     let rounds = (tick.settings.touch_ms / tick.settings.heartbeat_ms).max(1);
     tick.tables.membership.round.is_multiple_of(rounds)
 }
 
 /// Returns whether the lease is past two thirds of its time, so that all peers
 /// are asked for a confirmation.
-fn is_lease_old(tick: &Tick<'_>) -> bool {
+fn is_lease_near_expiry(tick: &Tick<'_>) -> bool {
     let limit_us = tick.settings.lease_ms * 1_000 * 2 / 3;
     tick.tables
         .lease
@@ -102,7 +102,7 @@
 }
 
 /// Announces to the writers that this VM is leaving.
-pub(super) fn tell_leaving(tick: &mut Tick<'_>) {
+pub(super) fn announce_leaving(tick: &mut Tick<'_>) {
     let (settings, view) = (tick.settings, &tick.tables.view);
     if view
         .member_with_incarnation(&settings.vm, settings.incarnation)
@@ -112,12 +112,12 @@
     }
     let writers = view.writers.clone();
     for writer in writers.iter().filter(|vm| **vm != settings.vm) {
-        send(tick, writer, false);
+        send_heartbeat(tick, writer, false);
     }
 }
 
 /// Sends a heartbeat; `asks` requests a confirmation of the lease.
-fn send(tick: &mut Tick<'_>, to: &VmName, asks: bool) {
+fn send_heartbeat(tick: &mut Tick<'_>, to: &VmName, asks: bool) {
     let tables = &*tick.tables;
     let heartbeat = Heartbeat {
         round: tables.membership.round,
--- a/crates/core/src/systems/membership/store.rs
+++ b/crates/core/src/systems/membership/store.rs
@@ -12,40 +12,40 @@
 };
 
 /// Initial backoff after a request that was not answered.
-const MIN_PAUSE_US: u64 = 200_000;
+const MIN_BACKOFF_US: u64 = 200_000;
 
 /// Maximum age of the store's last answer when a writer sends it a view.
 ///
 /// A view that may still be written prevents promises for the whole of an
 /// outage. Touching right before the write reduces the time in which an outage
 /// can begin unnoticed from the touch interval to one answer of the store.
-const FRESH_US: u64 = 100_000;
+const MAX_ANSWER_AGE_US: u64 = 100_000;
 
 /// Maximum backoff.
-const MAX_PAUSE_US: u64 = 10_000_000;
+const MAX_BACKOFF_US: u64 = 10_000_000;
 
 /// Timeout of a request.
 ///
 /// The store's client times out long before; this guards against a lost event.
-const GIVE_UP_US: u64 = 15_000_000;
+const REQUEST_TIMEOUT_US: u64 = 15_000_000;
 
 /// Dispatches an answer of the store, or its absence.
-pub(super) fn handle(tick: &mut Tick<'_>, event: StoreEvent) {
+pub(super) fn handle_event(tick: &mut Tick<'_>, event: StoreEvent) {
     let pending = tick.tables.membership.store.pending.take();
     if event != StoreEvent::Unavailable {
-        note_answer(tick);
+        record_answer(tick);
     }
     match event {
-        StoreEvent::ViewRead(stored) => read(tick, stored),
-        StoreEvent::ViewWritten(stored) => written(tick, &stored, pending),
-        StoreEvent::ViewTouched { version, sent_us } => touched(tick, version, sent_us),
-        StoreEvent::Conflict => conflict(tick),
-        StoreEvent::Unavailable => unavailable(tick, pending),
+        StoreEvent::ViewRead(stored) => handle_read(tick, stored),
+        StoreEvent::ViewWritten(stored) => handle_written(tick, &stored, pending),
+        StoreEvent::ViewTouched { version, sent_us } => handle_touched(tick, version, sent_us),
+        StoreEvent::Conflict => handle_conflict(tick),
+        StoreEvent::Unavailable => handle_unavailable(tick, pending),
     }
 }
 
 /// Records that the store answers and resets the backoff.
-fn note_answer(tick: &mut Tick<'_>) {
+fn record_answer(tick: &mut Tick<'_>) {
     let store = &mut tick.tables.membership.store;
     let was_down = store.failures > 1;
     store.failures = 0;
@@ -57,7 +57,7 @@
 }
 
 /// Handles the view that was read.
-fn read(tick: &mut Tick<'_>, stored: Option<StoredView>) {
+fn handle_read(tick: &mut Tick<'_>, stored: Option<StoredView>) {
     let tables = &mut *tick.tables;
     tables.membership.store.needs_read = false;
     tables.view_version = stored.as_ref().map_or(0, |stored| stored.version);
@@ -67,7 +67,7 @@
         tables.membership.store.is_behind = known.0 > 0;
         return;
     };
-    resolve(tick, &stored);
+    resolve_write(tick, &stored);
     if views::adopt(tick, &stored.view) {
         tick.tables.membership.store.is_behind = false;
     } else {
@@ -81,11 +81,11 @@
             });
         }
     }
-    pause_isolated(tick);
+    back_off_isolated(tick);
 }
 
 /// Determines whether a view whose write was not answered has been written.
-fn resolve(tick: &mut Tick<'_>, stored: &StoredView) {
+fn resolve_write(tick: &mut Tick<'_>, stored: &StoredView) {
     let link = &mut tick.tables.membership.store;
     let Some(unresolved) = &link.unresolved else {
         return;
@@ -102,20 +102,20 @@
 }
 
 /// Backs off the reads of a VM that is cut off from the others.
-fn pause_isolated(tick: &mut Tick<'_>) {
-    if !is_cut_off(tick) {
+fn back_off_isolated(tick: &mut Tick<'_>) {
+    if !is_isolated(tick) {
         tick.tables.membership.store.isolated_reads = 0;
         return;
     }
     let reads = tick.tables.membership.store.isolated_reads + 1;
-    let pause_us = pause_us(tick, reads);
+    let pause_us = backoff_us(tick, reads);
     let store = &mut tick.tables.membership.store;
     store.isolated_reads = reads;
     store.next_isolated_read_us = tick.now_us + pause_us;
 }
 
 /// Handles a view that this VM wrote.
-fn written(tick: &mut Tick<'_>, stored: &StoredView, pending: Option<PendingStoreRequest>) {
+fn handle_written(tick: &mut Tick<'_>, stored: &StoredView, pending: Option<PendingStoreRequest>) {
     let link = &mut tick.tables.membership.store;
     link.unresolved = None;
     link.conflicts = 0;
@@ -128,14 +128,14 @@
         tick.tables.membership.is_founder = true;
     }
     views::adopt(tick, &stored.view);
-    views::welcome(tick);
+    views::send_to_added(tick);
     if let Some(pending) = pending.filter(|pending| pending.kind == StoreRequestKind::Write) {
         leases::confirm(tick, pending.sent_us);
     }
 }
 
 /// Handles a successful touch: the view was in force when it was sent, or later.
-fn touched(tick: &mut Tick<'_>, version: u64, sent_us: u64) {
+fn handle_touched(tick: &mut Tick<'_>, version: u64, sent_us: u64) {
     let link = &mut tick.tables.membership.store;
     link.unresolved = None;
     link.conflicts = 0;
@@ -145,11 +145,11 @@
 }
 
 /// Handles an update that failed because the version had changed.
-fn conflict(tick: &mut Tick<'_>) {
+fn handle_conflict(tick: &mut Tick<'_>) {
     let conflicts = tick.tables.membership.store.conflicts + 1;
     // A single conflict is common; several in a row mean that reads are stale.
     let pause_us = if conflicts > 1 {
-        pause_us(tick, conflicts - 1)
+        backoff_us(tick, conflicts - 1)
     } else {
         0
     };
@@ -161,9 +161,9 @@
 }
 
 /// Handles a request that was not answered; it may have taken effect.
-fn unavailable(tick: &mut Tick<'_>, pending: Option<PendingStoreRequest>) {
+fn handle_unavailable(tick: &mut Tick<'_>, pending: Option<PendingStoreRequest>) {
     let failures = tick.tables.membership.store.failures + 1;
-    let pause_us = pause_us(tick, failures);
+    let pause_us = backoff_us(tick, failures);
     let link = &mut tick.tables.membership.store;
     link.failures = failures;
     link.touched_us = None;
@@ -182,49 +182,49 @@
 /// It doubles from 0.2 s to 10 s. Jitter from a hash of the VM's name and a
 /// request counter varies it between half and all of that, so that VMs do not
 /// send requests together when the store returns.
-fn pause_us(tick: &Tick<'_>, failures: u32) -> u64 {
+fn backoff_us(tick: &Tick<'_>, failures: u32) -> u64 {
     let doublings = failures.saturating_sub(1).min(16);
-    let full_us = (MIN_PAUSE_US << doublings).min(MAX_PAUSE_US);
+    let full_us = (MIN_BACKOFF_US << doublings).min(MAX_BACKOFF_US);
     let requests = tick.tables.membership.store.requests;
     let hash = hash_name(tick.settings.vm.as_str(), requests);
     full_us / 2 + hash % (full_us / 2 + 1)
 }
 
 /// Sends the next request if it is due, and schedules it otherwise.
-pub(super) fn drive(tick: &mut Tick<'_>) {
-    give_up_late(tick);
+pub(super) fn send_due(tick: &mut Tick<'_>) {
+    expire_pending(tick);
     if tick.tables.membership.store.pending.is_some() {
         return;
     }
-    let Some((due_us, wanted)) = wanted(tick) else {
+    let Some((due_us, wanted)) = next_request(tick) else {
         return;
     };
     let due_us = due_us.max(tick.tables.membership.store.not_before_us);
     if due_us > tick.now_us {
-        plan(tick, due_us);
+        schedule(tick, due_us);
     } else {
-        send(tick, wanted);
+        send_request(tick, wanted);
     }
 }
 
 /// The next request to the store.
-enum Wanted {
+enum NextRequest {
     Read,
     Touch,
     Write(View),
 }
 
 /// Treats the pending request as unanswered after its timeout.
-fn give_up_late(tick: &mut Tick<'_>) {
+fn expire_pending(tick: &mut Tick<'_>) {
     let pending = tick.tables.membership.store.pending;
-    if pending.is_some_and(|pending| tick.now_us > pending.sent_us + GIVE_UP_US) {
+    if pending.is_some_and(|pending| tick.now_us > pending.sent_us + REQUEST_TIMEOUT_US) {
         tick.tables.membership.store.pending = None;
-        unavailable(tick, pending);
+        handle_unavailable(tick, pending);
     }
 }
 
 /// Sets a timer for the next request, unless an earlier one is set.
-fn plan(tick: &mut Tick<'_>, due_us: u64) {
+fn schedule(tick: &mut Tick<'_>, due_us: u64) {
     let store = &mut tick.tables.membership.store;
     if store.timer_us.is_none_or(|at_us| due_us < at_us) {
         store.timer_us = Some(due_us);
@@ -233,21 +233,21 @@
 }
 
 /// Returns the request that is due first, and when.
-fn wanted(tick: &mut Tick<'_>) -> Option<(u64, Wanted)> {
+fn next_request(tick: &mut Tick<'_>) -> Option<(u64, NextRequest)> {
     let now_us = tick.now_us;
     if tick.tables.membership.store.needs_read {
-        return Some((now_us, Wanted::Read));
+        return Some((now_us, NextRequest::Read));
     }
     if tick.tables.view.epoch.0 == 0 {
-        return Some(found_or_read(tick));
+        return Some(bootstrap_request(tick));
     }
     let write = writing::proposal(tick);
     let write = write.map(|proposal| match touches_first(tick) {
-        true => (proposal.due_us, Wanted::Touch),
-        false => (proposal.due_us, Wanted::Write(proposal.view)),
+        true => (proposal.due_us, NextRequest::Touch),
+        false => (proposal.due_us, NextRequest::Write(proposal.view)),
     });
-    let touch = touch_due_us(tick).map(|due_us| (due_us, Wanted::Touch));
-    let read = read_due_us(tick).map(|due_us| (due_us, Wanted::Read));
+    let touch = touch_due_us(tick).map(|due_us| (due_us, NextRequest::Touch));
+    let read = read_due_us(tick).map(|due_us| (due_us, NextRequest::Read));
     // Of several requests that are due, the first in this order is sent.
     [write, touch, read]
         .into_iter()
@@ -259,7 +259,7 @@
 fn touches_first(tick: &Tick<'_>) -> bool {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let store = &tables.membership.store;
-    let is_fresh = |at_us: u64| tick.now_us.saturating_sub(at_us) <= FRESH_US;
+    let is_fresh = |at_us: u64| tick.now_us.saturating_sub(at_us) <= MAX_ANSWER_AGE_US;
     // A store that holds an older view has answered, and a touch would conflict.
     tables
         .view
@@ -269,10 +269,10 @@
 }
 
 /// Returns the request of a VM that knows no view: read one, or create the first.
-fn found_or_read(tick: &Tick<'_>) -> (u64, Wanted) {
+fn bootstrap_request(tick: &Tick<'_>) -> (u64, NextRequest) {
     let membership = &tick.tables.membership;
     if !membership.store.is_absent {
-        return (tick.now_us, Wanted::Read);
+        return (tick.now_us, NextRequest::Read);
     }
     let started_us = membership
         .sent_rounds
@@ -285,7 +285,7 @@
     } else {
         tick.settings.heartbeat_ms * 2_000
     };
-    let first = Wanted::Write(writing::first_view(tick));
+    let first = NextRequest::Write(writing::first_view(tick));
     (started_us + wait_us, first)
 }
 
@@ -301,7 +301,7 @@
     let next_us = touched_us + interval_us;
     // The second writer touches only if the store does not answer the first one,
     // or if it receives no confirmation from the first one.
-    if view.writers.first() == Some(&settings.vm) || leases::hears_promise(tick) {
+    if view.writers.first() == Some(&settings.vm) || leases::has_recent_promise(tick) {
         return Some(next_us);
     }
     let confirmed_us = tables.lease.confirmed_us.unwrap_or(0);
@@ -310,11 +310,11 @@
 
 /// Returns when this VM reads the view next, if it is cut off from the others.
 fn read_due_us(tick: &Tick<'_>) -> Option<u64> {
-    is_cut_off(tick).then_some(tick.tables.membership.store.next_isolated_read_us)
+    is_isolated(tick).then_some(tick.tables.membership.store.next_isolated_read_us)
 }
 
 /// Returns whether this VM has received no confirmation for longer than a lease.
-fn is_cut_off(tick: &Tick<'_>) -> bool {
+fn is_isolated(tick: &Tick<'_>) -> bool {
     let limit_us = tick.settings.lease_ms * 1_000;
     let age_us = tick.tables.lease.age_us(tick.now_us);
     let since_us = tick.tables.membership.view_since_us;
@@ -323,12 +323,12 @@
 }
 
 /// Sends a request and records it as pending.
-fn send(tick: &mut Tick<'_>, wanted: Wanted) {
+fn send_request(tick: &mut Tick<'_>, wanted: NextRequest) {
     let expected_version = tick.tables.view_version;
     let link = &mut tick.tables.membership.store;
     let (kind, request) = match wanted {
-        Wanted::Read => (StoreRequestKind::Read, StoreRequest::Read),
-        Wanted::Touch => {
+        NextRequest::Read => (StoreRequestKind::Read, StoreRequest::Read),
+        NextRequest::Touch => {
             link.touched_us = Some(tick.now_us);
             let view = tick.tables.view.clone();
             let request = StoreRequest::Touch {
@@ -337,7 +337,7 @@
             };
             (StoreRequestKind::Touch, request)
         }
-        Wanted::Write(view) => {
+        NextRequest::Write(view) => {
             link.unresolved = Some(UnresolvedWrite {
                 view: view.clone(),
                 expected_version,
--- a/crates/core/src/systems/membership/suspicion.rs
+++ b/crates/core/src/systems/membership/suspicion.rs
@@ -10,11 +10,11 @@
 use crate::tables::{Suspicion, Vm};
 
 /// Heartbeat rounds after which a report expires; watchers repeat it in each round.
-const REPORT_ROUNDS: u64 = 3;
+const REPORT_RETENTION_ROUNDS: u64 = 3;
 
 /// Reports watched members that have been silent for too long.
-pub(super) fn check(tick: &mut Tick<'_>) {
-    restart_after_pause(tick);
+pub(super) fn report_silent(tick: &mut Tick<'_>) {
+    reset_after_pause(tick);
     let limit_us = tick.settings.suspect_ms * 1_000;
     let now_us = tick.now_us;
     let tables = &*tick.tables;
@@ -34,14 +34,14 @@
         }
     }
     for (vm, incarnation) in silent {
-        report(tick, vm, incarnation);
+        send_report(tick, vm, incarnation);
     }
 }
 
 /// Restarts the silence of all watched members if this VM itself was paused.
 ///
 /// Heartbeats that arrived during the pause have not been read yet.
-fn restart_after_pause(tick: &mut Tick<'_>) {
+fn reset_after_pause(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let limit_us = tick.settings.heartbeat_ms * 2_000;
     let membership = &mut tick.tables.membership;
@@ -54,7 +54,7 @@
 }
 
 /// Reports a silent member to the writers.
-fn report(tick: &mut Tick<'_>, vm: VmName, incarnation: Incarnation) {
+fn send_report(tick: &mut Tick<'_>, vm: VmName, incarnation: Incarnation) {
     let writers = tick.tables.view.writers.clone();
     for writer in writers {
         let vm = vm.clone();
@@ -63,7 +63,12 @@
 }
 
 /// Records a report about a silent member.
-pub(super) fn record(tick: &mut Tick<'_>, sender: &Sender, vm: VmName, incarnation: Incarnation) {
+pub(super) fn record_report(
+    tick: &mut Tick<'_>,
+    sender: &Sender,
+    vm: VmName,
+    incarnation: Incarnation,
+) {
     let now_us = tick.now_us;
     let view = &tick.tables.view;
     let is_known = view.member_with_incarnation(&vm, incarnation).is_some()
@@ -91,7 +96,7 @@
 /// Watchers that are to be removed themselves are not counted. The result is
 /// the largest set of suspects in which each is reported by all its watchers
 /// outside the set, and by at least one.
-pub(super) fn failed(tick: &Tick<'_>, gone: &BTreeSet<VmName>) -> BTreeSet<VmName> {
+pub(super) fn failed_members(tick: &Tick<'_>, gone: &BTreeSet<VmName>) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
     let suspects = &tables.membership.suspicions;
     if suspects.is_empty() {
@@ -99,7 +104,7 @@
     }
     let mut failed: BTreeSet<VmName> = suspects
         .keys()
-        .filter(|vm| !is_heard(tick, vm))
+        .filter(|vm| !heard_recently(tick, vm))
         .cloned()
         .collect();
     loop {
@@ -124,7 +129,7 @@
 
 /// Returns whether a watcher's report about a member has not expired.
 fn is_reported(tick: &Tick<'_>, vm: &VmName, by: &VmName) -> bool {
-    let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_ROUNDS;
+    let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_RETENTION_ROUNDS;
     let suspect = tick.tables.membership.suspicions.get(vm);
     suspect
         .and_then(|suspect| suspect.reports.get(by))
@@ -133,7 +138,7 @@
 
 /// Returns whether this VM itself received a message from a member within the
 /// suspicion timeout.
-pub(super) fn is_heard(tick: &Tick<'_>, vm: &VmName) -> bool {
+pub(super) fn heard_recently(tick: &Tick<'_>, vm: &VmName) -> bool {
     let tables = &*tick.tables;
     let limit_us = tick.settings.suspect_ms * 1_000;
     let (Some(member), Some(row)) = (tables.view.member(vm), tables.vms.get(vm)) else {
@@ -144,8 +149,8 @@
 }
 
 /// Removes suspects whose reports have all expired.
-pub(super) fn forget_cleared(tick: &mut Tick<'_>) {
-    let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_ROUNDS;
+pub(super) fn expire_suspicions(tick: &mut Tick<'_>) {
+    let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_RETENTION_ROUNDS;
     let oldest_us = tick.now_us.saturating_sub(kept_us);
     let suspects = &mut tick.tables.membership.suspicions;
     suspects.retain(|_, suspect| suspect.reports.values().any(|at_us| *at_us >= oldest_us));
--- a/crates/core/src/systems/membership/views.rs
+++ b/crates/core/src/systems/membership/views.rs
@@ -10,18 +10,18 @@
 use crate::tables::{Departed, PastView, Timer, View, ViewChange, ViewDelta, Vm};
 
 /// Number of deltas kept for VMs that missed them; VMs further behind get the whole view.
-const KEPT_DELTAS: usize = 64;
+const MAX_DELTAS: usize = 64;
 
 /// Number of past views kept for the takeover wait.
 ///
 /// Owners in older views are treated as unknown, which only lengthens waits.
-const KEPT_VIEWS: usize = 16;
+const MAX_PAST_VIEWS: usize = 16;
 
 /// Time after which an unanswered request for a view is repeated.
-const ASK_AGAIN_US: u64 = 200_000;
+const VIEW_RETRY_US: u64 = 200_000;
 
 /// How long records of removed members and of silent VMs are retained.
-const REMEMBERED_US: u64 = 60_000_000;
+const RETENTION_US: u64 = 60_000_000;
 
 /// Adopts a view if it is newer; returns whether it was.
 pub(super) fn adopt(tick: &mut Tick<'_>, view: &View) -> bool {
@@ -31,24 +31,24 @@
     let now_us = tick.now_us;
     let before = std::mem::replace(&mut tick.tables.view, view.clone());
     let since_us = std::mem::replace(&mut tick.tables.membership.view_since_us, now_us);
-    report_change(tick, &before);
-    keep_delta(tick, &before);
-    keep_past(tick, before, since_us);
-    raise_incarnations(tick);
-    forget_proposals(tick);
-    peers::choose(tick);
-    leases::keep_writers(tick);
-    leases::refresh(tick);
+    publish_change(tick, &before);
+    store_delta(tick, &before);
+    store_past_view(tick, before, since_us);
+    update_incarnations(tick);
+    remove_applied_proposals(tick);
+    peers::choose_peers(tick);
+    leases::remove_stale_promises(tick);
+    leases::update_expiry(tick);
     tick.decide(Decision::ViewChanged {
         epoch: view.epoch,
         members: view.members.len(),
     });
-    pass_on(tick);
+    propagate(tick);
     true
 }
 
 /// Publishes the change to the other systems and records the removed members.
-fn report_change(tick: &mut Tick<'_>, before: &View) {
+fn publish_change(tick: &mut Tick<'_>, before: &View) {
     let (now_us, settings) = (tick.now_us, tick.settings);
     let tables = &mut *tick.tables;
     let removed = before.members_not_in(&tables.view);
@@ -80,17 +80,17 @@
 }
 
 /// Stores the delta for VMs that know only the previous view.
-fn keep_delta(tick: &mut Tick<'_>, before: &View) {
+fn store_delta(tick: &mut Tick<'_>, before: &View) {
     let delta = before.delta_to(&tick.tables.view);
     let deltas = &mut tick.tables.membership.deltas;
     deltas.push_back(delta);
-    if deltas.len() > KEPT_DELTAS {
+    if deltas.len() > MAX_DELTAS {
         deltas.pop_front();
     }
 }
 
 /// Stores the previous view until the takeover wait is over.
-fn keep_past(tick: &mut Tick<'_>, before: View, since_us: u64) {
+fn store_past_view(tick: &mut Tick<'_>, before: View, since_us: u64) {
     let (now_us, wait_us) = (tick.now_us, tick.settings.takeover_wait_us());
     let past = &mut tick.tables.membership.past_views;
     past.retain(|row| row.until_us + wait_us > now_us);
@@ -101,13 +101,13 @@
             until_us: now_us,
         });
     }
-    if past.len() > KEPT_VIEWS {
+    if past.len() > MAX_PAST_VIEWS {
         past.pop_front();
     }
 }
 
 /// Resets the rows of VMs for which the view has a newer incarnation.
-fn raise_incarnations(tick: &mut Tick<'_>) {
+fn update_incarnations(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let tables = &mut *tick.tables;
     for member in &tables.view.members {
@@ -120,7 +120,7 @@
 }
 
 /// Removes joins, departures and reports that the new view has made obsolete.
-fn forget_proposals(tick: &mut Tick<'_>) {
+fn remove_applied_proposals(tick: &mut Tick<'_>) {
     let tables = &mut *tick.tables;
     let (view, membership) = (&tables.view, &mut tables.membership);
     membership.join_requests.retain(|vm, (member, _)| {
@@ -143,7 +143,7 @@
 ///
 /// In a small fleet only the writers do: heartbeats soon tell every member of
 /// the new epoch.
-fn pass_on(tick: &mut Tick<'_>) {
+fn propagate(tick: &mut Tick<'_>) {
     let tables = &*tick.tables;
     let epoch = tables.view.epoch;
     let is_writer = tables.view.is_writer(&tick.settings.vm);
@@ -172,7 +172,7 @@
 }
 
 /// Sends the view to the members that it added.
-pub(super) fn welcome(tick: &mut Tick<'_>) {
+pub(super) fn send_to_added(tick: &mut Tick<'_>) {
     let epoch = tick.tables.view.epoch;
     let added: Vec<VmName> = tick
         .tables
@@ -193,7 +193,7 @@
 }
 
 /// Answers a request for a newer view.
-pub(super) fn request(tick: &mut Tick<'_>, vm: &VmName, known: Epoch) {
+pub(super) fn handle_request(tick: &mut Tick<'_>, vm: &VmName, known: Epoch) {
     if known < tick.tables.view.epoch {
         send_view(tick, vm, known);
     }
@@ -219,13 +219,13 @@
 }
 
 /// Requests the view from a VM that knows a newer epoch.
-pub(super) fn note_epoch(tick: &mut Tick<'_>, vm: &VmName, epoch: Epoch) {
+pub(super) fn request_newer(tick: &mut Tick<'_>, vm: &VmName, epoch: Epoch) {
     let (now_us, known) = (tick.now_us, tick.tables.view.epoch);
     if epoch <= known {
         return;
     }
     let asked = &mut tick.tables.membership.view_requested;
-    if asked.is_some_and(|(asked, at_us)| asked >= epoch && now_us < at_us + ASK_AGAIN_US) {
+    if asked.is_some_and(|(asked, at_us)| asked >= epoch && now_us < at_us + VIEW_RETRY_US) {
         return;
     }
     *asked = Some((epoch, now_us));
@@ -243,12 +243,12 @@
         }
     }
     let newest = deltas.last().map_or(Epoch::default(), |delta| delta.to);
-    note_epoch(tick, &sender.vm, newest);
+    request_newer(tick, &sender.vm, newest);
 }
 
 /// Removes expired records of removed members and of silent VMs.
-pub(super) fn forget_old(tick: &mut Tick<'_>) {
-    let oldest_us = tick.now_us.saturating_sub(REMEMBERED_US);
+pub(super) fn expire_records(tick: &mut Tick<'_>) {
+    let oldest_us = tick.now_us.saturating_sub(RETENTION_US);
     let tables = &mut *tick.tables;
     let membership = &mut tables.membership;
     if membership
--- a/crates/core/src/systems/membership/writing.rs
+++ b/crates/core/src/systems/membership/writing.rs
@@ -8,10 +8,10 @@
 use crate::tables::{Member, View, hash_name};
 
 /// Time for which joins are batched, so that a starting fleet needs few views.
-const COLLECT_US: u64 = 20_000;
+const JOIN_BATCH_US: u64 = 20_000;
 
 /// Seed that makes the hashes that choose writers differ from others.
-const WRITERS: u64 = 14;
+const WRITER_HASH_SEED: u64 = 14;
 
 /// The number of writers of a view.
 const WRITER_COUNT: usize = 2;
@@ -28,7 +28,7 @@
 /// Returns the next view if the current one has to change and this VM may write it.
 pub(super) fn proposal(tick: &mut Tick<'_>) -> Option<Proposal> {
     let settings = tick.settings;
-    if !may_change(tick) {
+    if !has_change_trigger(tick) {
         tick.tables.membership.change_wanted_since_us = None;
         return None;
     }
@@ -37,10 +37,10 @@
     let allowed_us = if is_writer {
         tick.now_us
     } else {
-        platform::replaces_writers_us(tick)?
+        platform::may_replace_writers_us(tick)?
     };
-    suspicion::forget_cleared(tick);
-    let removed = removed(tick, is_writer);
+    suspicion::expire_suspicions(tick);
+    let removed = removed_members(tick, is_writer);
     let view = next_view(tick, &removed);
     if view.members.is_empty() {
         return None;
@@ -54,7 +54,7 @@
     }
     let wanted_us = *membership.change_wanted_since_us.get_or_insert(tick.now_us);
     let due_us = if is_writer {
-        wanted_us + delay_us(tick, &removed)
+        wanted_us + write_delay_us(tick, &removed)
     } else {
         allowed_us
     };
@@ -65,7 +65,7 @@
 }
 
 /// Returns whether anything may require a new view.
-fn may_change(tick: &Tick<'_>) -> bool {
+fn has_change_trigger(tick: &Tick<'_>) -> bool {
     let (view, membership) = (&tick.tables.view, &tick.tables.membership);
     let lacks_writers = view.writers.len() < WRITER_COUNT.min(view.members.len());
     lacks_writers
@@ -81,7 +81,7 @@
 /// Returns the first view of a fleet, with this VM as its only member.
 pub(super) fn first_view(tick: &Tick<'_>) -> View {
     let epoch = Epoch::default().next();
-    let member = joining::entry(tick, epoch);
+    let member = joining::own_member(tick, epoch);
     View {
         epoch,
         writers: smallvec::smallvec![member.vm.clone()],
@@ -90,10 +90,10 @@
 }
 
 /// Returns the members that the next view leaves out.
-fn removed(tick: &Tick<'_>, is_writer: bool) -> BTreeSet<VmName> {
+fn removed_members(tick: &Tick<'_>, is_writer: bool) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
-    let mut removed = platform::gone(tick);
-    let failed = suspicion::failed(tick, &removed);
+    let mut removed = platform::missing_members(tick);
+    let failed = suspicion::failed_members(tick, &removed);
     removed.extend(failed);
     removed.extend(tables.membership.leaving.keys().cloned());
     if !is_writer {
@@ -109,7 +109,7 @@
     let mut view = tables.view.clone();
     view.epoch = view.epoch.next();
     view.members.retain(|member| !removed.contains(&member.vm));
-    for member in joining::wanted(tick) {
+    for member in joining::pending_joins(tick) {
         view.insert_member(Member {
             joined: view.epoch,
             ..member
@@ -122,7 +122,7 @@
             .member_with_incarnation(&settings.vm, settings.incarnation)
             .is_none()
     {
-        view.insert_member(joining::entry(tick, view.epoch));
+        view.insert_member(joining::own_member(tick, view.epoch));
     }
     for member in &mut view.members {
         member.leaving = tables.membership.platform.leaving.contains(&member.vm);
@@ -168,7 +168,7 @@
                 (
                     !member.leaving,
                     is_apart,
-                    hash_name(member.vm.as_str(), WRITERS),
+                    hash_name(member.vm.as_str(), WRITER_HASH_SEED),
                 )
             });
         let Some(next) = next else {
@@ -180,7 +180,7 @@
 }
 
 /// Returns how long this writer waits before it writes the next view.
-fn delay_us(tick: &Tick<'_>, removed: &BTreeSet<VmName>) -> u64 {
+fn write_delay_us(tick: &Tick<'_>, removed: &BTreeSet<VmName>) -> u64 {
     let (settings, tables) = (tick.settings, &*tick.tables);
     let first = tables.view.writers.first();
     let is_first = first == Some(&settings.vm);
@@ -199,5 +199,5 @@
         // The first writer normally writes the view; this delay covers the case that it cannot.
         return settings.touch_ms * 2_000;
     }
-    if removed.is_empty() { COLLECT_US } else { 0 }
+    if removed.is_empty() { JOIN_BATCH_US } else { 0 }
 }
--- a/crates/core/src/systems/peers/group.rs
+++ b/crates/core/src/systems/peers/group.rs
@@ -10,7 +10,7 @@
 use crate::tables::Peer;
 
 /// Marks VMs that have become silent, removes those that have stayed silent and counts the others.
-pub(super) fn review(tick: &mut Tick<'_>) {
+pub(super) fn update_liveness(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let silent_us = tick.settings.peer_timeout_ms * 1_000;
     let forget_us = tick.settings.peer_retention_ms * 1_000;
@@ -26,17 +26,17 @@
         }
     }
     for vm in silenced {
-        silence(tick, &vm);
+        mark_silent(tick, &vm);
     }
     for vm in forgotten {
         tick.tables.peering.peers.remove(&vm);
         tick.decide(Decision::PeerForgotten { vm });
     }
-    count(tick);
+    update_counts(tick);
 }
 
 /// Marks a VM as silent and removes its running calls.
-fn silence(tick: &mut Tick<'_>, vm: &VmName) {
+fn mark_silent(tick: &mut Tick<'_>, vm: &VmName) {
     let now_us = tick.now_us;
     let Some(peer) = tick.tables.peering.peers.get_mut(vm) else {
         return;
@@ -76,7 +76,7 @@
 }
 
 /// Counts the reachable and the known VMs, and determines this VM's rank.
-pub(super) fn count(tick: &mut Tick<'_>) {
+pub(super) fn update_counts(tick: &mut Tick<'_>) {
     let me = &tick.settings.vm;
     let peering = &mut tick.tables.peering;
     let before = peering.usable_fraction();
--- a/crates/core/src/systems/peers/mod.rs
+++ b/crates/core/src/systems/peers/mod.rs
@@ -7,7 +7,7 @@
 mod receiving;
 mod sending;
 
-pub(crate) use receiving::learn_vms;
+pub(crate) use receiving::add_vms;
 pub(crate) use sending::snapshot;
 
 use std::sync::Arc;
@@ -28,14 +28,14 @@
 const LARGE_FLEET_PERCENT: u64 = 150;
 
 /// Time after which an unanswered snapshot request is repeated.
-const ASK_AGAIN_US: u64 = 400_000;
+const SNAPSHOT_RETRY_US: u64 = 400_000;
 
 /// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub news: Vec<PeerNews>,
     /// Whether the next round of summaries is due.
-    pub due: bool,
+    pub is_due: bool,
     /// Whether this VM was asked to stop.
     pub drain: bool,
     /// Whether a change has to be sent to the other VMs before the next round is due.
@@ -44,7 +44,7 @@
 
 impl Work {
     pub fn is_empty(&self) -> bool {
-        self.news.is_empty() && !self.due && !self.drain && !self.announce
+        self.news.is_empty() && !self.is_due && !self.drain && !self.announce
     }
 }
 
@@ -62,23 +62,23 @@
     for news in work.news {
         receiving::handle(tick, news);
     }
-    if work.due {
-        group::review(tick);
+    if work.is_due {
+        group::update_liveness(tick);
         let is_large = tick.tables.peering.known_vms > LARGE_FLEET_VMS;
         let percent = if is_large { LARGE_FLEET_PERCENT } else { 100 };
         let due_us = tick.now_us + tick.settings.summary_ms * 10 * percent;
         tick.tables.timers.set(due_us, Timer::Summary);
     }
-    if work.due || work.announce || work.drain {
-        sending::send(tick);
+    if work.is_due || work.announce || work.drain {
+        sending::send_summaries(tick);
     }
 }
 
 /// Requests a snapshot from another VM, unless one was requested recently.
-fn ask_snapshot(tick: &mut Tick<'_>, address: Arc<str>, with_programs: bool) {
+fn request_snapshot(tick: &mut Tick<'_>, address: Arc<str>, with_programs: bool) {
     let now_us = tick.now_us;
     let asked = &mut tick.tables.peering.snapshot_requested_us;
-    if asked.is_some_and(|asked_us| now_us < asked_us + ASK_AGAIN_US) {
+    if asked.is_some_and(|asked_us| now_us < asked_us + SNAPSHOT_RETRY_US) {
         return;
     }
     *asked = Some(now_us);
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -1,7 +1,7 @@
 //! Applies summaries and snapshots of other VMs.
 
 use super::super::{Tick, budgets, config, outcomes, rates};
-use super::{ask_snapshot, group};
+use super::{group, request_snapshot};
 use crate::ids::VmName;
 use crate::input::{PeerNews, RegisteredVm};
 use crate::message::{Snapshot, Summary};
@@ -11,22 +11,22 @@
 /// Dispatches input from another VM.
 pub(super) fn handle(tick: &mut Tick<'_>, news: PeerNews) {
     match news {
-        PeerNews::Summary(summary) => learn(tick, *summary),
-        PeerNews::Snapshot { asked_us, snapshot } => adopt(tick, asked_us, *snapshot),
+        PeerNews::Summary(summary) => apply_summary(tick, *summary),
+        PeerNews::Snapshot { asked_us, snapshot } => apply_snapshot(tick, asked_us, *snapshot),
         PeerNews::NoSnapshot => tick.tables.peering.snapshot_requested_us = None,
     }
 }
 
 /// Adds the VMs that are registered in the store.
-pub(crate) fn learn_vms(tick: &mut Tick<'_>, vms: Vec<RegisteredVm>) {
+pub(crate) fn add_vms(tick: &mut Tick<'_>, vms: Vec<RegisteredVm>) {
     for row in vms {
-        learn_vm(tick, &row.vm, &row.address);
+        add_vm(tick, &row.vm, &row.address);
     }
-    group::count(tick);
+    group::update_counts(tick);
 }
 
 /// Adds a VM that is not known yet.
-fn learn_vm(tick: &mut Tick<'_>, vm: &VmName, address: &str) {
+fn add_vm(tick: &mut Tick<'_>, vm: &VmName, address: &str) {
     let now_us = tick.now_us;
     if *vm == tick.settings.vm {
         return;
@@ -38,13 +38,13 @@
 }
 
 /// Applies a summary, unless it is a duplicate or out of date.
-fn learn(tick: &mut Tick<'_>, summary: Summary) {
-    if summary.from == tick.settings.vm || !accept(tick, &summary) {
+fn apply_summary(tick: &mut Tick<'_>, summary: Summary) {
+    if summary.from == tick.settings.vm || !update_sender(tick, &summary) {
         return;
     }
     let vm = summary.from.clone();
-    note_reads(tick, &summary);
-    note_admitted(tick, &summary);
+    record_read_times(tick, &summary);
+    record_admitted(tick, &summary);
     group::replace_running(tick, &vm, summary.running);
     for program in &summary.programs {
         budgets::merge_use(tick, &vm, summary.incarnation, program);
@@ -58,14 +58,14 @@
         }
     }
     for (other, address) in &summary.others {
-        learn_vm(tick, other, address);
+        add_vm(tick, other, address);
     }
-    group::count(tick);
-    fetch(tick, &vm, (summary.knows_programs, summary.knows_keepers));
+    group::update_counts(tick);
+    request_missing(tick, &vm, (summary.knows_programs, summary.knows_keepers));
 }
 
 /// Updates the row of the sender; returns whether the summary is new.
-fn accept(tick: &mut Tick<'_>, summary: &Summary) -> bool {
+fn update_sender(tick: &mut Tick<'_>, summary: &Summary) -> bool {
     let now_us = tick.now_us;
     let me = tick.settings.incarnation;
     let tables = &mut *tick.tables;
@@ -111,7 +111,7 @@
 /// The sender wrote the summary after it had received the echoed one. The time at which this VM
 /// sent that one is therefore a lower bound for when the ages were measured, however long the
 /// summary was in transit.
-fn note_reads(tick: &mut Tick<'_>, summary: &Summary) {
+fn record_read_times(tick: &mut Tick<'_>, summary: &Summary) {
     let echo = summary
         .echo
         .filter(|echo| echo.incarnation == tick.settings.incarnation);
@@ -136,7 +136,7 @@
 }
 
 /// Debits calls that the sender has admitted from this VM's copies of the buckets.
-fn note_admitted(tick: &mut Tick<'_>, summary: &Summary) {
+fn record_admitted(tick: &mut Tick<'_>, summary: &Summary) {
     for (account, total) in &summary.admitted {
         let peers = &mut tick.tables.peering.peers;
         let Some(peer) = peers.get_mut(&summary.from) else {
@@ -155,7 +155,11 @@
 }
 
 /// Requests a snapshot if the sender has state that this VM lacks.
-fn fetch(tick: &mut Tick<'_>, vm: &VmName, (knows_programs, knows_keepers): (bool, bool)) {
+fn request_missing(
+    tick: &mut Tick<'_>,
+    vm: &VmName,
+    (knows_programs, knows_keepers): (bool, bool),
+) {
     let tables = &*tick.tables;
     let Some(peer) = tables.peering.peers.get(vm) else {
         return;
@@ -168,18 +172,18 @@
     let lacks_keepers = knows_keepers && tables.source.keepers.is_empty();
     if is_newer || lacks_programs || lacks_keepers {
         let address = peer.address.clone();
-        ask_snapshot(tick, address, lacks_programs);
+        request_snapshot(tick, address, lacks_programs);
     }
 }
 
 /// Applies the parts of a snapshot that are newer than this VM's state.
-fn adopt(tick: &mut Tick<'_>, asked_us: u64, snapshot: Snapshot) {
+fn apply_snapshot(tick: &mut Tick<'_>, asked_us: u64, snapshot: Snapshot) {
     tick.tables.peering.snapshot_requested_us = None;
     // The sender answered after `asked_us`, so its ages were measured at that time or later.
     let read_us = |age_us: Option<u64>| age_us.and_then(|age_us| asked_us.checked_sub(age_us));
     if let Some(fleet) = snapshot.fleet {
         let revision = fleet.revision;
-        config::offer(tick, fleet);
+        config::adopt(tick, fleet);
         if revision >= tick.tables.fleet.revision
             && let Some(read_us) = read_us(snapshot.config_age_us)
         {
@@ -193,7 +197,7 @@
         source.keepers = snapshot.keepers;
     }
     let list_us = read_us(snapshot.list_age_us);
-    config::adopt_list(tick, snapshot.list, list_us);
+    config::adopt_peer_list(tick, snapshot.list, list_us);
     if let Some(losses) = snapshot.losses
         && tick.tables.source.knowledge == ProgramKnowledge::Pending
     {
--- a/crates/core/src/systems/peers/sending.rs
+++ b/crates/core/src/systems/peers/sending.rs
@@ -20,11 +20,11 @@
 const SILENT_ROUNDS: u64 = 5;
 
 /// Sends a round of summaries.
-pub(super) fn send(tick: &mut Tick<'_>) {
+pub(super) fn send_summaries(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let round = tick.tables.peering.start_round(now_us);
-    let common = common(tick.settings, tick.tables, now_us);
-    postpone(tick.tables, round);
+    let common = common_summary(tick.settings, tick.tables, now_us);
+    defer_overflow(tick.tables, round);
     let tables = &*tick.tables;
     let mut known: Vec<&str> = Vec::new();
     for (vm, peer) in tables.peering.peers.iter() {
@@ -35,7 +35,7 @@
         {
             continue;
         }
-        let summary = for_peer(tick.settings, tables, &common, (vm, peer));
+        let summary = peer_summary(tick.settings, tables, &common, (vm, peer));
         tick.outputs.push(Output::SendSummary {
             address: peer.address.clone(),
             summary: Box::new(summary),
@@ -52,7 +52,7 @@
 }
 
 /// Builds the part of a summary that is the same for all receivers.
-fn common(settings: &CoreSettings, tables: &Tables, now_us: u64) -> Summary {
+fn common_summary(settings: &CoreSettings, tables: &Tables, now_us: u64) -> Summary {
     let running = tables.upstreams.iter();
     let running = running.filter(|(_, row)| row.own_calls > 0);
     let suspects = tables.suspects.iter().filter(|(_, row)| row.crashes > 0);
@@ -87,7 +87,7 @@
 }
 
 /// Adds the rows that one VM has not acknowledged yet.
-fn for_peer(
+fn peer_summary(
     settings: &CoreSettings,
     tables: &Tables,
     common: &Summary,
@@ -137,7 +137,7 @@
 }
 
 /// Defers program changes that do not fit into this round to the next one.
-fn postpone(tables: &mut Tables, round: u64) {
+fn defer_overflow(tables: &mut Tables, round: u64) {
     let due = |changed_round: u64| changed_round == round;
     let rows = tables.budgets.iter_mut();
     let changed = rows.filter(|(_, row)| due(row.changed_round));
--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -24,40 +24,40 @@
 const READ_STEPS: u64 = 4;
 
 /// Backoff after the first failure; it doubles with each further one.
-const RETRY_US: u64 = 100_000;
+const MIN_BACKOFF_US: u64 = 100_000;
 
 /// Maximum backoff after a failure.
-const MAX_RETRY_US: u64 = 400_000;
+const MAX_BACKOFF_US: u64 = 400_000;
 
 /// Age at which the registered VMs are read again.
-const VMS_US: u64 = 60_000_000;
+const VM_READ_AGE_US: u64 = 60_000_000;
 
 /// The same during startup while this VM knows no VM with a disk.
-const FIRST_VMS_US: u64 = 3_000_000;
+const STARTUP_VM_READ_AGE_US: u64 = 3_000_000;
 
 /// Duration of the startup phase.
-const YOUNG_US: u64 = 10_000_000;
+const STARTUP_US: u64 = 10_000_000;
 
 /// Time between two reads of the list that counts as a store outage.
-const AWAY_US: u64 = 1_600_000;
+const OUTAGE_US: u64 = 1_600_000;
 
 /// Time that other VMs get to report programs before the store is asked for losses.
-const LOSSES_US: u64 = 450_000;
+const PEER_ANSWER_WAIT_US: u64 = 450_000;
 
 /// Timeout of a request.
-const GIVE_UP_US: u64 = 2_000_000;
+const REQUEST_TIMEOUT_US: u64 = 2_000_000;
 
 /// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
     pub events: Vec<SourceEvent>,
     /// Whether the timer of this system is due.
-    pub due: bool,
+    pub is_due: bool,
 }
 
 impl Work {
     pub fn is_empty(&self) -> bool {
-        self.events.is_empty() && !self.due
+        self.events.is_empty() && !self.is_due
     }
 }
 
@@ -68,37 +68,37 @@
         return;
     }
     for event in work.events {
-        handle(tick, event);
+        handle_event(tick, event);
     }
-    read(tick);
+    send_due_reads(tick);
 }
 
 /// Handles an answer of the store.
-fn handle(tick: &mut Tick<'_>, event: SourceEvent) {
+fn handle_event(tick: &mut Tick<'_>, event: SourceEvent) {
     match event {
         SourceEvent::Config { asked_us, fleet } => {
-            answered(tick, &SourcePart::Config);
+            record_answer(tick, &SourcePart::Config);
             if let Some(fleet) = fleet {
-                config::offer(tick, fleet);
+                config::adopt(tick, fleet);
             }
             tick.tables.source.config.record_read(asked_us);
         }
         SourceEvent::Upstreams { asked_us, list } => {
-            answered(tick, &SourcePart::Upstreams);
-            note_return(tick);
-            config::adopt_read_list(tick, &list);
+            record_answer(tick, &SourcePart::Upstreams);
+            record_return(tick);
+            config::adopt_store_list(tick, &list);
             tick.tables.source.list.record_read(asked_us);
         }
         SourceEvent::Vms { relays, keepers } => {
-            answered(tick, &SourcePart::Vms);
+            record_answer(tick, &SourcePart::Vms);
             let now_us = tick.now_us;
             tick.tables.source.vms.record_read(now_us);
             tick.tables.source.keepers = Arc::new(keepers);
-            peers::learn_vms(tick, relays);
+            peers::add_vms(tick, relays);
             tick.work.peers.announce = true;
         }
         SourceEvent::Losses { losses, records } => {
-            answered(tick, &SourcePart::Losses);
+            record_answer(tick, &SourcePart::Losses);
             if tick.tables.source.knowledge == ProgramKnowledge::Pending {
                 for record in &records {
                     budgets::restore_record(tick, record);
@@ -112,7 +112,7 @@
         SourceEvent::Failed(SourcePart::Budget(program)) => {
             tick.work.budgets.reservations.push((program, None));
         }
-        SourceEvent::Failed(part) => failed(tick, &part),
+        SourceEvent::Failed(part) => record_failure(tick, &part),
     }
 }
 
@@ -129,7 +129,7 @@
 }
 
 /// Records an answer and resets the backoff.
-fn answered(tick: &mut Tick<'_>, part: &SourcePart) {
+fn record_answer(tick: &mut Tick<'_>, part: &SourcePart) {
     if let Some(reading) = reading_of(tick, part) {
         reading.requested_us = None;
         reading.failures = 0;
@@ -141,10 +141,10 @@
 }
 
 /// Records a failed request and backs off.
-fn failed(tick: &mut Tick<'_>, part: &SourcePart) {
+fn record_failure(tick: &mut Tick<'_>, part: &SourcePart) {
     let now_us = tick.now_us;
     if let Some(reading) = reading_of(tick, part) {
-        let pause_us = (RETRY_US << reading.failures.min(4)).min(MAX_RETRY_US);
+        let pause_us = (MIN_BACKOFF_US << reading.failures.min(4)).min(MAX_BACKOFF_US);
         reading.requested_us = None;
         reading.failures += 1;
         reading.retry_us = now_us + pause_us;
@@ -158,20 +158,20 @@
 }
 
 /// Records the end of a store outage in which list entries may have expired.
-fn note_return(tick: &mut Tick<'_>) {
+fn record_return(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let source = &mut tick.tables.source;
     if source
         .list
         .age_us(now_us)
-        .is_some_and(|age_us| age_us > AWAY_US)
+        .is_some_and(|age_us| age_us > OUTAGE_US)
     {
         source.list_resumed_us = Some(now_us);
     }
 }
 
 /// Sends the read requests that are due and schedules the next check.
-fn read(tick: &mut Tick<'_>) {
+fn send_due_reads(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let age_us = read_age_us(tick.tables.peering.rank);
     let parts = [
@@ -190,15 +190,15 @@
             next_us = next_us.min(due_us);
             continue;
         }
-        if part == SourcePart::Losses && !asks_losses(tick) {
-            next_us = next_us.min(now_us + LOSSES_US);
+        if part == SourcePart::Losses && !should_read_losses(tick) {
+            next_us = next_us.min(now_us + PEER_ANSWER_WAIT_US);
             continue;
         }
         let Some(reading) = reading_of(tick, &part) else {
             continue;
         };
         reading.requested_us = Some(now_us);
-        next_us = next_us.min(now_us + GIVE_UP_US);
+        next_us = next_us.min(now_us + REQUEST_TIMEOUT_US);
         tick.outputs.push(Output::Source(request));
     }
     tick.tables.timers.set(next_us, Timer::Source);
@@ -209,21 +209,21 @@
 /// It is shorter during startup, since VMs with a disk may register a little later than this one.
 fn vms_age_us(tick: &Tick<'_>) -> u64 {
     let source = &tick.tables.source;
-    let is_young = tick.now_us < source.started_us + YOUNG_US;
+    let is_young = tick.now_us < source.started_us + STARTUP_US;
     if source.keepers.is_empty() && is_young {
-        FIRST_VMS_US
+        STARTUP_VM_READ_AGE_US
     } else {
-        VMS_US
+        VM_READ_AGE_US
     }
 }
 
 /// Returns whether the store has to be asked for losses of memory.
 ///
 /// That is the case when the other VMs had time to report the programs and none did.
-fn asks_losses(tick: &Tick<'_>) -> bool {
+fn should_read_losses(tick: &Tick<'_>) -> bool {
     let source = &tick.tables.source;
     let is_pending = source.knowledge == ProgramKnowledge::Pending;
-    let has_waited = tick.now_us >= source.started_us + LOSSES_US;
+    let has_waited = tick.now_us >= source.started_us + PEER_ANSWER_WAIT_US;
     let is_heard = source.vms.read_us.is_some();
     is_pending && is_heard && has_waited && tick.tables.peering.snapshot_requested_us.is_none()
 }
@@ -241,6 +241,6 @@
     let old_us = reading.read_us.map_or(0, |read_us| read_us + age_us);
     let answer_us = reading
         .requested_us
-        .map_or(0, |asked_us| asked_us + GIVE_UP_US);
+        .map_or(0, |asked_us| asked_us + REQUEST_TIMEOUT_US);
     old_us.max(reading.retry_us).max(answer_us)
 }
--- a/crates/core/src/systems/timers/mod.rs
+++ b/crates/core/src/systems/timers/mod.rs
@@ -37,10 +37,10 @@
                 work.outcomes.due_timers.push(timer);
             }
             Timer::OrdersReview(_) => work.orders.due_timers.push(timer),
-            Timer::Summary => work.peers.due = true,
-            Timer::Source => work.source.due = true,
+            Timer::Summary => work.peers.is_due = true,
+            Timer::Source => work.source.is_due = true,
             Timer::BudgetIdle(_) => work.budgets.due_timers.push(timer),
-            Timer::Heartbeat | Timer::Store => work.membership.due.push(timer),
+            Timer::Heartbeat | Timer::Store => work.membership.due_timers.push(timer),
         }
     }
 }
