--- a/crates/core/src/tables/account.rs
+++ b/crates/core/src/tables/account.rs
@@ -4,15 +4,15 @@
 use crate::config::AccountConfig;
 use crate::ids::{AccountName, Secret256};
 
-/// A client account.
+/// A client account that calls are charged to.
 #[derive(Debug)]
 pub struct Account {
-    /// Its published limits.
+    /// Its published configuration.
     pub config: AccountConfig,
 }
 
 impl Account {
-    /// Returns its rate and burst over all VMs.
+    /// Returns the rate limit of the account over all VMs together.
     pub fn limits(&self) -> RateLimit {
         RateLimit {
             rate_mcalls_per_s: self.config.rate_mcalls_per_s,
@@ -21,13 +21,13 @@
     }
 }
 
-/// A caller's key.
+/// An API key of an account; only its digest is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Key {
-    /// The account that it belongs to.
+    /// The account that calls with this key are charged to.
     pub account: AccountName,
-    /// The digest of the whole key.
+    /// SHA-256 digest of the whole key.
     pub sha256: Secret256,
-    /// Whether it has been withdrawn.
+    /// Whether the key has been withdrawn, so that calls with it are refused.
     pub withdrawn: bool,
 }
--- a/crates/core/src/tables/bucket.rs
+++ b/crates/core/src/tables/bucket.rs
@@ -1,12 +1,12 @@
 //! A token bucket in integer arithmetic.
 
-/// Billionths of a call in one call.
+/// Billionths of a call (ncalls) in one call.
 pub const NCALLS_PER_CALL: u64 = 1_000_000_000;
 
 /// A token bucket that admits calls.
 ///
-/// The level grows by `rate_mcalls_per_s` x elapsed microseconds, which is
-/// exact in billionths of a call.
+/// Thousandths of a call per second times microseconds are billionths of a call, so a refill
+/// needs no rounding.
 ///
 /// # Examples
 ///
@@ -20,18 +20,18 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Bucket {
-    /// Growth of the level.
+    /// Refill rate, in thousandths of a call per second.
     pub rate_mcalls_per_s: u64,
-    /// Highest level.
+    /// Capacity, in billionths of a call.
     pub burst_ncalls: u64,
-    /// The level at `updated_us`.
+    /// Level at `updated_us`, in billionths of a call.
     pub level_ncalls: u64,
-    /// When the level was worked out.
+    /// Time of the last refill.
     pub updated_us: u64,
 }
 
 impl Bucket {
-    /// Makes a bucket at its highest level.
+    /// Creates a full bucket.
     pub fn full(rate_mcalls_per_s: u64, burst_ncalls: u64, now_us: u64) -> Self {
         Self {
             rate_mcalls_per_s,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Brings the level up to the present time.
+    /// Refills the bucket for the time since the last refill.
     pub fn refill(&mut self, now_us: u64) {
         let elapsed_us = now_us.saturating_sub(self.updated_us);
         let grown_ncalls = self.rate_mcalls_per_s.saturating_mul(elapsed_us);
@@ -52,7 +52,7 @@
         self.updated_us = self.updated_us.max(now_us);
     }
 
-    /// Takes one call out; returns whether there was one.
+    /// Takes one call; returns `false` and takes nothing if the level is below one call.
     pub fn try_take(&mut self, now_us: u64) -> bool {
         self.refill(now_us);
         if self.level_ncalls < NCALLS_PER_CALL {
--- a/crates/core/src/tables/budget.rs
+++ b/crates/core/src/tables/budget.rs
@@ -1,108 +1,111 @@
-//! Token budgets of programs whose turns may come through any VM.
+//! Token budgets of programs whose turns may arrive at any VM.
+//!
+//! A program with little use runs on what the VMs tell each other about its tokens (the free part
+//! of its budget). Beyond that, tokens are reserved in a record in the store.
 
 use smallvec::SmallVec;
 
 use crate::ids::{CallId, Incarnation, ProgramKey, UpstreamName, VmName};
 
-/// Part of a budget that may be used without a record in the store: one in this many.
+/// Divisor of the budget that gives the part usable without a record in the store.
 const FREE_DIVISOR: u64 = 4;
 
-/// Part of a budget that a new record counts as used at least: one in this many.
+/// Divisor of the budget that gives the least part that a new record counts as used.
 const UNRECORDED_DIVISOR: u64 = 2;
 
-/// Turns that one line may run before all VMs know of the first of them.
+/// Turns of one line that may run before all VMs know of the first of them.
 const MAX_UNSEEN_TURNS: u64 = 2;
 
-/// Turns that the lines of a program may run together before all VMs know of them.
+/// Turns of all lines of a program that may run before all VMs know of the first of them.
 const MAX_UNSEEN_PARALLEL_TURNS: u64 = 10;
 
-/// Turns in a budget from which sub-agents need no reservation either.
+/// Turns that a budget must hold for sub-agents to use its free part too.
 const MIN_TURNS_FOR_AGENTS: u64 = 16;
 
-/// Part of what is left in a record that is reserved at once: one in this many.
+/// Divisor of the tokens left in a record that gives the part reserved at once.
 const RESERVATION_DIVISOR: u64 = 8;
 
-/// Tokens that one process has passed to callers.
+/// Tokens of a program that one process has passed to callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessUsage {
-    /// The VM.
+    /// VM of the process.
     pub vm: VmName,
-    /// The start of its process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// The tokens.
+    /// Total over all turns of the program.
     pub tokens: u64,
 }
 
-/// What this VM knows of the use of a program's budget.
+/// Use of a program's budget, as far as this VM knows it.
 #[derive(Debug, Clone, Default)]
 pub struct Budget {
-    /// Tokens that all turns may generate.
+    /// Tokens that all turns together may generate.
     pub budget_tokens: u64,
-    /// How long the row is kept after the last turn.
+    /// Time after the last turn for which the row is kept.
     pub retention_us: u64,
-    /// When the row was last used.
+    /// Time of the last use of the row.
     pub last_used_us: u64,
-    /// The line of turns that the program began with.
+    /// The line of turns that the program began with; sub-agents have lines of their own.
     pub main_line: Option<u64>,
-    /// Tokens passed to callers, by process.
+    /// Tokens passed to callers, for each process that served the program.
     pub spent: SmallVec<[ProcessUsage; 2]>,
-    /// The most that turns running on this VM without a reservation may generate.
+    /// Tokens that turns running on this VM without a reservation may still generate at most.
     pub running_tokens: u64,
-    /// Tokens reserved by this VM and not taken by a turn.
+    /// Tokens reserved by this VM that no turn uses yet.
     pub reserved_tokens: u64,
-    /// Losses of memory since which the program is known; turns before them are not.
+    /// Losses of the memory of all VMs after which earlier turns of the program may be unknown.
     pub losses: u32,
     /// Whether the program has a record in the store.
     pub has_record: bool,
     /// Whether the budget is used up.
     pub is_stopped: bool,
-    /// Whether a reservation is under way.
+    /// Whether a reservation in the store is in flight.
     pub is_reserving: bool,
-    /// Turns that wait for a reservation.
+    /// Calls that wait for the reservation in flight.
     pub waiting: SmallVec<[CallId; 2]>,
-    /// The round of summaries that tells others of the last change.
+    /// The round of summaries that reports the last change to other VMs.
     pub changed_round: u64,
-    /// The engine of the last turn on this VM and the tokens it may have cached.
+    /// Engine of the last turn on this VM and the number of tokens that it may have cached.
     pub cached: Option<(UpstreamName, u64)>,
 }
 
-/// How a turn is covered by its program's budget.
+/// The part of the budget from which a turn takes its tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Coverage {
-    /// By the part that needs no record.
+    /// The free part, which needs no record.
     Free,
-    /// By tokens reserved in the store.
+    /// Tokens reserved in the store.
     Reserved,
 }
 
-/// What a budget says to one more turn.
+/// Result of a request to run one more turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BudgetDecision {
-    /// It is covered.
+    /// The turn may run; its tokens have been taken.
     Covered(Coverage),
-    /// Tokens have to be reserved first.
+    /// Tokens have to be reserved in the store first.
     NeedsReservation {
-        /// The least that helps.
+        /// The least number of tokens to reserve.
         needed_tokens: u64,
     },
-    /// The budget does not hold it.
+    /// The budget has no room for the turn.
     Exhausted,
 }
 
 impl Budget {
-    /// Returns the tokens that are known to be used or may be used by running turns.
+    /// Returns the tokens known to be used plus the most that running turns may use.
     pub fn known_tokens(&self) -> u64 {
         let spent: u64 = self.spent.iter().map(|row| row.tokens).sum();
         spent + self.running_tokens
     }
 
-    /// Returns whether a new record of the budget would have room for some tokens.
+    /// Returns whether a new record of the budget would have room for `needed_tokens`.
     fn fits_in_new_record(&self, turn_tokens: u64, needed_tokens: u64) -> bool {
         let free = FreeAllowance::of(self.budget_tokens, turn_tokens, self.losses);
         free.unrecorded_tokens.saturating_add(needed_tokens) <= self.budget_tokens
     }
 
-    /// Returns whether a turn of a line may go on the strength of what is known.
+    /// Returns whether a turn of a line may use the free part of the budget.
     fn needs_no_reservation(&self, line: Option<u64>, turn_tokens: u64) -> bool {
         let free = FreeAllowance::of(self.budget_tokens, turn_tokens, self.losses);
         let is_main = line == self.main_line;
@@ -112,7 +115,7 @@
             && self.known_tokens() <= free.tokens
     }
 
-    /// Covers one more turn, taking its tokens if there are enough.
+    /// Takes the tokens of one more turn from the budget if there are enough.
     pub fn cover(&mut self, line: Option<u64>, turn_tokens: u64) -> BudgetDecision {
         let known = self.known_tokens();
         if self.is_stopped || turn_tokens > self.budget_tokens {
@@ -136,7 +139,7 @@
         BudgetDecision::Covered(Coverage::Reserved)
     }
 
-    /// Takes note of the end of a turn on this VM.
+    /// Returns the unused tokens of a turn that ended on this VM.
     pub fn settle_turn(&mut self, cover: Coverage, turn_tokens: u64, used_tokens: u64) {
         match cover {
             Coverage::Free => self.running_tokens = self.running_tokens.saturating_sub(turn_tokens),
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Sets the tokens that a process has passed to callers; totals never fall.
+    /// Records the total that a process has passed to callers; a lower total is ignored.
     pub fn set_spent(&mut self, vm: &VmName, incarnation: Incarnation, tokens: u64) {
         let known = self
             .spent
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Returns the tokens that a process has passed to callers.
+    /// Returns the total that a process has passed to callers.
     pub fn spent_by(&self, vm: &VmName, incarnation: Incarnation) -> u64 {
         self.spent
             .iter()
@@ -169,27 +172,28 @@
     }
 }
 
-/// The part of a budget that may be used without a record.
+/// The free part of a budget, which may be used without a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FreeAllowance {
-    /// Whether there is one at all.
+    /// Whether the budget has a free part.
     is_usable: bool,
     /// Whether sub-agents may use it too.
     ///
-    /// The turns of one line follow each other, so that few of them are unseen. Sub-agents start
-    /// at once on several VMs, and only an ample budget holds as many unseen turns.
+    /// Turns of one line run one after another, so few of them are unknown to other VMs.
+    /// Sub-agents start on several VMs at once, and only a large budget has room for so many
+    /// unknown turns.
     allows_agents: bool,
-    /// Known tokens up to which another turn needs no reservation.
+    /// Known use up to which another turn needs no reservation.
     tokens: u64,
-    /// Tokens that may have been used without a record.
+    /// Tokens that may have been used at most without a record.
     unrecorded_tokens: u64,
 }
 
 impl FreeAllowance {
-    /// Works out the free part of a budget.
+    /// Computes the free part of a budget.
     fn of(budget_tokens: u64, turn_tokens: u64, losses: u32) -> Self {
         // A budget may be exceeded by one turn.
-        let most_tokens = budget_tokens + turn_tokens;
+        let max_tokens = budget_tokens + turn_tokens;
         let is_ample = budget_tokens >= MIN_TURNS_FOR_AGENTS * turn_tokens;
         let parallel = Self::for_unseen_turns(
             budget_tokens,
@@ -197,7 +201,7 @@
             losses,
             MAX_UNSEEN_PARALLEL_TURNS,
         );
-        if is_ample && parallel.unrecorded_tokens <= most_tokens {
+        if is_ample && parallel.unrecorded_tokens <= max_tokens {
             return Self {
                 allows_agents: true,
                 ..parallel
@@ -205,15 +209,15 @@
         }
         let line = Self::for_unseen_turns(budget_tokens, turn_tokens, losses, MAX_UNSEEN_TURNS);
         Self {
-            is_usable: line.unrecorded_tokens <= most_tokens,
+            is_usable: line.unrecorded_tokens <= max_tokens,
             ..line
         }
     }
 
-    /// Works out the free part with some turns that may run before all VMs know that it is used,
-    /// less the one turn by which a budget may be exceeded.
+    /// Computes the free part if `unseen_turns` turns may run before all VMs know that it is used.
     ///
-    /// After a loss of memory, it may be used once more.
+    /// One of these turns is not counted, because a budget may be exceeded by one turn. After each
+    /// loss of memory, the free part may be used once more.
     fn for_unseen_turns(
         budget_tokens: u64,
         turn_tokens: u64,
@@ -222,21 +226,21 @@
     ) -> Self {
         let tokens = budget_tokens / FREE_DIVISOR;
         let unseen_tokens = (unseen_turns - 1) * turn_tokens;
-        let again_tokens = u64::from(losses).saturating_mul(tokens + turn_tokens);
+        let reused_tokens = u64::from(losses).saturating_mul(tokens + turn_tokens);
         Self {
             is_usable: true,
             allows_agents: false,
             tokens,
             unrecorded_tokens: (tokens + unseen_tokens)
-                .saturating_add(again_tokens)
+                .saturating_add(reused_tokens)
                 .max(budget_tokens / UNRECORDED_DIVISOR),
         }
     }
 }
 
-/// The record of a program's budget in the store.
+/// Record of a program's budget in the store.
 ///
-/// It is changed by conditional writes only, so that no token is reserved twice.
+/// It is changed by conditional writes only, so no token is reserved twice.
 ///
 /// # Examples
 ///
@@ -257,18 +261,18 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct BudgetRecord {
-    /// The program.
+    /// Program whose budget it is.
     pub program: ProgramKey,
-    /// Tokens that all turns may generate.
+    /// Tokens that all turns together may generate.
     pub budget_tokens: u64,
-    /// Tokens that have been reserved or count as used.
+    /// Tokens that are reserved or counted as used.
     pub taken_tokens: u64,
     /// Whether the budget is used up.
     pub is_stopped: bool,
 }
 
 impl BudgetRecord {
-    /// Makes the record of a program that has passed the part which needs none.
+    /// Creates the record of a program that has used the free part of its budget.
     pub fn new(program: ProgramKey, budget_tokens: u64, turn_tokens: u64, losses: u32) -> Self {
         Self {
             program,
@@ -280,7 +284,7 @@
         }
     }
 
-    /// Makes the record of a program that has used up its budget without one.
+    /// Creates the record of a program that has used up its budget without a record.
     pub fn stopped(program: ProgramKey, budget_tokens: u64) -> Self {
         Self {
             program,
@@ -290,7 +294,9 @@
         }
     }
 
-    /// Reserves tokens, at least those that are needed, and returns them; 0 if they do not fit.
+    /// Reserves at least `needed_tokens` and returns the number reserved.
+    ///
+    /// Returns 0 and stops the budget if fewer tokens are left.
     pub fn reserve(&mut self, needed_tokens: u64) -> u64 {
         let left = self.budget_tokens.saturating_sub(self.taken_tokens);
         if self.is_stopped || left < needed_tokens {
--- a/crates/core/src/tables/call.rs
+++ b/crates/core/src/tables/call.rs
@@ -1,4 +1,4 @@
-//! Calls that arrived at this VM.
+//! Calls that entered the fleet through this VM.
 
 use std::sync::Arc;
 
@@ -10,16 +10,16 @@
 use crate::input::{Continuation, NewCall};
 use crate::output::{ChargeOutcome, Execution};
 
-/// How far a call has come.
+/// Stage of a call on its entry VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Waits for its account's rate.
+    /// Waits for the rate limit of its account.
     Rate,
-    /// Waits for the home of its program.
+    /// Waits for the home of its program to begin the turn.
     Home,
-    /// Waits for its program's budget.
+    /// Waits for a reservation of tokens from the budget of its program.
     Budget,
-    /// Waits for an upstream.
+    /// Waits for the assignment of an upstream.
     Place,
     /// Runs on an upstream.
     Running,
@@ -27,122 +27,122 @@
     Settling,
 }
 
-/// A call that arrived at this VM.
+/// A call that entered the fleet through this VM.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What the front end handed over.
+    /// The call as the front end submitted it.
     pub request: NewCall,
-    /// How far it has come.
+    /// Stage that the call has reached.
     pub stage: Stage,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_us: u64,
     /// The account that is charged; absent on routes open to all.
     pub account: Option<AccountName>,
     /// The program, if the call belongs to one.
     pub program: Option<ProgramKey>,
-    /// The generation of the program, once the home has let the turn begin.
+    /// Generation of the program; valid once the home has begun the turn.
     pub generation: u64,
-    /// The upstreams that can run it.
+    /// Pool of the upstreams that can run it.
     pub pool: PoolKey,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// The state of the program before the turn, once the home has let it begin.
+    /// State of the program before the turn; absent until the home has begun the turn.
     pub state: Option<Box<Continuation>>,
-    /// How often `Begin` was sent since the call entered its stage.
+    /// Times that `Begin` was sent since the call entered its present stage.
     pub begin_tries: u32,
-    /// When `Begin` has to be sent again.
+    /// Time at which `Begin` is sent again.
     pub begin_due_us: u64,
-    /// Whether the home was ever asked to let the turn begin.
+    /// Whether `Begin` was sent at all.
     pub has_asked_home: bool,
-    /// When the call is refused unless the home has answered; 0 outside that stage.
+    /// Deadline for the home's answer, after which the call is refused; 0 outside that stage.
     pub home_deadline_us: u64,
     /// Time after which no attempt may start.
     pub valid_until_us: u64,
     /// Number of the last attempt; 0 before the first.
     pub attempts: u32,
-    /// The upstream of the running attempt.
+    /// Upstream of the running attempt.
     pub upstream: Option<UpstreamName>,
-    /// Whether a byte of the running attempt left for the upstream.
+    /// Whether any byte of the running attempt was sent to the upstream.
     pub sent: bool,
-    /// Whether an earlier attempt ended without certainty that it did not run.
+    /// Whether an earlier attempt ended without proof that it did not run.
     pub may_have_run: bool,
-    /// The last attempt that ended without certainty that it did not run.
+    /// The last attempt that ended without proof that it did not run.
     pub last_run: Option<Box<LastRun>>,
     /// Tokens that the last attempt used, if it ended early.
     pub used_tokens: Option<u64>,
-    /// Upstreams on which the call has failed.
+    /// Upstreams on which the call has failed; avoided unless no other is usable.
     pub avoid: SmallVec<[UpstreamName; 2]>,
-    /// Placement and retries.
+    /// State of placement and retries.
     pub placement: PlacementState,
-    /// Whether it begins a program, as far as this VM knows.
+    /// Whether it is the first turn of a program, as far as this VM knows.
     pub begins_program: bool,
-    /// What only relayed calls have.
+    /// State that only relayed calls have.
     pub relay: Option<Box<RelayState>>,
 }
 
-/// An attempt that has ended and ran or may have run.
+/// An ended attempt that ran or may have run.
 #[derive(Debug, Clone)]
 pub struct LastRun {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Where it ran.
+    /// Upstream to which it was sent.
     pub upstream: UpstreamName,
-    /// Tokens that it passed to the caller.
+    /// Tokens of its response that were passed to the caller.
     pub answer_tokens: u64,
     /// How it ended.
     pub outcome: ChargeOutcome,
 }
 
-/// What only relayed calls have.
+/// State that only relayed calls have.
 #[derive(Debug, Clone)]
 pub struct RelayState {
-    /// The route.
+    /// Route that the call matched.
     pub route: Arc<HostRoute>,
-    /// When the call has to be answered.
+    /// Deadline for the answer to the caller.
     pub deadline_us: u64,
-    /// When a stream that has begun has to end.
+    /// Deadline for the end of a stream that has begun.
     pub stream_deadline_us: u64,
-    /// The rank; 0 goes first.
+    /// Priority in queues; 0 goes first.
     pub priority: u32,
-    /// The program, for its budget and for the cache of its engine.
+    /// Program that the call belongs to, for its budget and for cache-aware placement.
     pub program: Option<ProgramKey>,
-    /// The line of turns within the program.
+    /// Line of turns within the program; each sub-agent has its own.
     pub line: Option<u64>,
-    /// The program's budget, if the call is a turn.
+    /// Tokens that all turns of the program may generate; absent if the call is no turn.
     pub budget_tokens: Option<u64>,
-    /// How the budget covers the call.
+    /// Part of the budget that covers the call; absent until it is covered.
     pub cover: Option<Coverage>,
-    /// Tokens passed to the caller.
+    /// Tokens passed to the caller by all attempts.
     pub forwarded_tokens: u64,
     /// Upstreams on which the call may have run.
     pub ran_on: SmallVec<[UpstreamName; 2]>,
-    /// The only upstream that may run the call again, unless it has ended.
+    /// The only upstream that may run the call again, unless its process has ended.
     pub only: Option<UpstreamName>,
 }
 
-/// Placement and retries of a call.
+/// State of placement and retries of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PlacementState {
-    /// Requests for an upstream without an answer.
+    /// Requests to the owner of the pool since its last answer.
     pub unanswered: u32,
-    /// When the wait for an upstream ends.
+    /// End of the wait for an upstream.
     pub queue_until_us: u64,
-    /// When the answer of the owner of the pool is looked for.
+    /// Time at which the answer of the owner of the pool is overdue.
     pub check_us: u64,
-    /// When the attempt was sent to its upstream.
+    /// Time at which the attempt was sent to its upstream.
     pub dispatched_us: u64,
-    /// When its first token arrived; 0 before that.
+    /// Time at which its first token arrived; 0 before that.
     pub first_token_us: u64,
-    /// Connections lost so far.
+    /// Attempts whose connection was lost.
     pub lost_connections: u32,
-    /// Attempts that failed in another way after they may have run.
+    /// Attempts that failed otherwise after they may have run.
     pub failures: u32,
-    /// Crashes in which the content ran, as told by the owner of the pool.
+    /// Crashes of upstreams during which the content ran, as reported by the owner of the pool.
     pub crashes: u32,
 }
 
 impl Call {
-    /// Returns the running or next attempt.
+    /// Returns the identity of the last attempt; before the first, its number is 0.
     pub fn attempt(&self) -> AttemptId {
         AttemptId {
             call: self.request.id,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Describes how the present attempt ended.
+    /// Returns a record of the end of the running attempt, or `None` if it has no upstream.
     pub fn to_last_run(&self, answer_tokens: u64, outcome: ChargeOutcome) -> Option<LastRun> {
         Some(LastRun {
             attempt: self.attempt(),
@@ -160,7 +160,7 @@
         })
     }
 
-    /// Returns what is known about an execution of a call that waits.
+    /// Returns whether a waiting call may have run in an earlier attempt.
     pub fn execution(&self) -> Execution {
         if self.may_have_run {
             Execution::MayHaveRun
@@ -169,10 +169,10 @@
         }
     }
 
-    /// Returns whether this call itself ran, given what a refusal says about its request.
+    /// Returns whether this call itself ran, given the execution that a refusal states.
     ///
-    /// A refusal by the home may speak of an earlier call with the same request, while this one
-    /// never left for an upstream.
+    /// A refusal by the home may describe an earlier call with the same request, while this one
+    /// was never sent to an upstream.
     pub fn own_execution(&self, ran: Execution) -> Execution {
         match self.stage {
             Stage::Rate | Stage::Home | Stage::Budget if !self.may_have_run => Execution::NotRun,
@@ -180,19 +180,19 @@
         }
     }
 
-    /// Returns whether the call has to be covered by a budget that no home keeps.
+    /// Returns whether a budget outside the homes has to cover the call.
     pub fn has_budget(&self) -> bool {
         let relay = self.relay.as_ref();
         relay.is_some_and(|relay| relay.budget_tokens.is_some() && relay.program.is_some())
     }
 
-    /// Returns the program, whether a home keeps it or not.
+    /// Returns the program of the call, whether it has a home or is relayed.
     pub fn program_key(&self) -> Option<&ProgramKey> {
         let relayed = || self.relay.as_ref()?.program.as_ref();
         self.program.as_ref().or_else(relayed)
     }
 
-    /// Returns the highest number of tokens that the call can use.
+    /// Returns the most tokens, prompt and response, that the call can use.
     pub fn max_total_tokens(&self) -> u64 {
         self.request
             .prompt_tokens
--- a/crates/core/src/tables/homes.rs
+++ b/crates/core/src/tables/homes.rs
@@ -1,4 +1,4 @@
-//! What a VM keeps as home and as entry VM besides programs and calls.
+//! State of a VM as home and as entry VM, besides the rows of programs and calls.
 
 use std::collections::VecDeque;
 
@@ -10,129 +10,129 @@
 use crate::input::Continuation;
 use crate::message::{Begin, HomesMessage, Settle, Witness};
 
-/// What a VM keeps as home and as entry VM besides programs and calls.
+/// State of a VM as home and as entry VM, besides the rows of programs and calls.
 #[derive(Debug, Default)]
 pub struct Homes {
-    /// The view that the programs were last sorted by.
+    /// The view by which the programs were last assigned to homes.
     pub view: View,
-    /// Earlier views, newest first, to tell who was the home of a program.
+    /// Earlier views, newest first, from which the former home of a program is computed.
     pub view_history: VecDeque<View>,
-    /// VMs that have handed over their programs.
+    /// Hand-overs of programs by other VMs.
     pub hand_overs: Table<VmName, HandOverProgress>,
-    /// Programs started here since the start of the process.
+    /// Programs started by this process.
     pub started_programs: u64,
-    /// Permits issued here since the start of the process.
+    /// Permits issued by this process.
     pub issued_permits: u64,
-    /// As home: the last states of programs that are over.
+    /// As home: the last states of programs that have ended.
     pub tombstones: Table<ProgramKey, Tombstone>,
     /// As home: calls that wait for a turn.
     pub waiting_calls: Table<CallId, WaitingCall>,
-    /// As home: requests to end a program that were carried out.
+    /// As home: requests to end a program that have been applied, so that a resend has no effect.
     pub ended_requests: Table<CallId, ()>,
-    /// As home: releases of engine memory that are not confirmed.
+    /// As home: unconfirmed releases of engine memory, with the number of times each was sent.
     pub releases: Table<Release, u32>,
-    /// As entry VM: the last state of the programs that it served.
+    /// As entry VM: the last known state of the programs that it served.
     pub witnesses: Table<ProgramKey, WitnessRecord>,
     /// As entry VM: ends of turns that the home has not confirmed.
     pub pending_settles: Table<CallId, PendingSettle>,
-    /// As entry VM: requests of callers that the home has not answered.
+    /// As entry VM: requests of callers about programs that the home has not answered.
     pub requests: Table<CallId, PendingProgramRequest>,
-    /// State of programs on its way to their new homes.
+    /// Unconfirmed messages with state of programs for their new homes, by number of the transfer.
     pub transfers: Table<u64, Transfer>,
-    /// The number of the next transfer.
+    /// Number of the next transfer.
     pub next_transfer: u64,
 }
 
-/// What a VM has handed over because of one view.
+/// Progress of the hand-over of programs from another VM after a view change.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HandOverProgress {
-    /// The epoch of the view that moved the programs.
+    /// Epoch of the view that moved the programs.
     pub epoch: Epoch,
-    /// Messages that have arrived.
+    /// Numbers of the messages that have arrived.
     pub received: SmallVec<[u64; 1]>,
-    /// From when this VM may act for the programs, once all messages have arrived.
+    /// Time from which this VM may act for the programs; known once all messages have arrived.
     pub effective_us: Option<u64>,
 }
 
-/// The last state of a program that is over.
+/// The last state of a program that has ended.
 ///
-/// Without it, a continuation that an earlier home signed would bring the program back.
+/// Without it, a continuation that an earlier home signed would start the program again.
 #[derive(Debug, Clone)]
 pub struct Tombstone {
-    /// The state that a new home is told.
+    /// The state that a new home receives.
     pub state: Continuation,
-    /// The row, which tells whether a permit of the program may have been used.
+    /// The last row, which shows whether a permit of the program may have been used.
     pub row: Program,
-    /// When it need not be kept any longer.
+    /// Time at which the tombstone expires.
     pub until_us: u64,
 }
 
 /// A call that waits at the home for a turn.
 #[derive(Debug, Clone)]
 pub struct WaitingCall {
-    /// The entry VM of the call.
+    /// Entry VM of the call.
     pub vm: VmName,
-    /// The request.
+    /// Request of the entry VM to begin the turn.
     pub begin: Box<Begin>,
-    /// Whether it is a resend of the turn in progress, which it waits for without a limit.
+    /// Whether it repeats the turn in progress; it then waits for that turn without a timeout.
     pub is_attached: bool,
-    /// The next call that waits for the same program.
+    /// The next call in the list of those that wait for the same program.
     pub next: Option<CallId>,
 }
 
-/// The engine memory of one program at one upstream.
+/// A release of the memory that one program holds at one upstream.
 #[derive(Debug, Display, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[display("{program} generation {generation} at {upstream}")]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Release {
-    /// The engine.
+    /// Upstream that holds the memory.
     pub upstream: UpstreamName,
-    /// The program.
+    /// Program that the memory or request belongs to.
     pub program: ProgramKey,
-    /// The generation of the program that is released.
+    /// Generation of the program whose memory is released.
     pub generation: u64,
 }
 
-/// The last state of a program that this VM served as entry VM.
+/// The last known state of a program that this VM served as entry VM.
 #[derive(Debug, Clone)]
 pub struct WitnessRecord {
-    /// The state as the home last told it.
+    /// The state that the home last reported.
     pub witness: Witness,
-    /// When that was.
+    /// Time of that report.
     pub last_seen_us: u64,
 }
 
 /// The end of a turn that the home has not confirmed.
 #[derive(Debug, Clone)]
 pub struct PendingSettle {
-    /// The report.
+    /// Message that reports the end of the turn.
     pub settle: Box<Settle>,
-    /// When it was sent first.
+    /// Time at which it was first sent.
     pub since_us: u64,
-    /// How often it was sent.
+    /// Times that it was sent.
     pub tries: u32,
 }
 
-/// A request of a caller that the home has not answered.
+/// A request of a caller about a program that the home has not answered.
 #[derive(Debug, Clone)]
 pub struct PendingProgramRequest {
-    /// The program.
+    /// Program that the memory or request belongs to.
     pub program: ProgramKey,
-    /// The message.
+    /// Message to send until it is answered.
     pub message: HomesMessage,
-    /// How often it was sent.
+    /// Times that it was sent.
     pub tries: u32,
-    /// When the caller is refused.
+    /// Deadline for the home's answer, after which the caller is refused.
     pub deadline_us: u64,
 }
 
-/// State of programs on its way to their new home.
+/// An unconfirmed message with state of programs for their new home.
 #[derive(Debug, Clone)]
 pub struct Transfer {
-    /// The new home.
+    /// VM that is the new home.
     pub to: VmName,
-    /// The message.
+    /// Message to send until it is answered.
     pub message: HomesMessage,
-    /// How often it was sent.
+    /// Times that it was sent.
     pub tries: u32,
 }
--- a/crates/core/src/tables/lease.rs
+++ b/crates/core/src/tables/lease.rs
@@ -2,13 +2,13 @@
 
 /// The lease under which a VM acts as owner and home.
 ///
-/// A confirmation is the moment at which the view in force here, or an older
-/// one, was known to be the view of the fleet.
+/// A confirmation is a time at which the view in force here, or an older one, was known to be
+/// the current view of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Lease {
-    /// When the lease ends, on this VM's clock; 0 without a lease.
+    /// End of the lease on this VM's clock; 0 without a lease.
     pub until_us: u64,
-    /// The latest confirmation, on this VM's clock; kept by VMs that are no members.
+    /// Time of the latest confirmation on this VM's clock; VMs that are not members record it too.
     pub confirmed_us: Option<u64>,
 }
 
@@ -18,12 +18,12 @@
         now_us < self.until_us
     }
 
-    /// Returns how long the lease is still valid.
+    /// Returns the time until the lease ends; 0 if it has ended.
     pub fn remaining_us(&self, now_us: u64) -> u64 {
         self.until_us.saturating_sub(now_us)
     }
 
-    /// Returns the age of the latest confirmation.
+    /// Returns the age of the latest confirmation, or `None` if there was none.
     pub fn age_us(&self, now_us: u64) -> Option<u64> {
         let confirmed_us = self.confirmed_us?;
         Some(now_us.saturating_sub(confirmed_us))
--- a/crates/core/src/tables/limit.rs
+++ b/crates/core/src/tables/limit.rs
@@ -1,48 +1,49 @@
-//! The learned limit of calls that run at once on an upstream.
+//! Adaptive limit of the concurrent calls on an upstream.
 
-/// Load reports that are averaged before the limit changes; they lag, and one
-/// report says little about the token rate.
+/// Load reports that are averaged before the limit changes, because reports lag and the token
+/// rate of a single one varies too much.
 const REPORTS_PER_STEP: u32 = 4;
 
-/// Time after a change before reports count, because reports lag.
+/// Time after a change during which reports are ignored, because they lag.
 const SETTLE_US: u64 = 1_000_000;
 
-/// Time after a decrease until attempts that started before it have ended.
+/// Time after a decrease during which token times are ignored: until attempts that started
+/// before it have ended.
 const DECREASE_COOLDOWN_US: u64 = 5_000_000;
 
-/// Time at a limit that could not be raised.
+/// Time for which the limit is held after a decrease or an increase without effect.
 const HOLD_US: u64 = 20_000_000;
 
-/// Why a limit changed.
+/// Reason for a change of the limit.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq)]
 pub enum LimitReason {
-    /// The token rate grew with the limit.
+    /// The token rate grew with the limit, so the limit is raised.
     #[display("token rate grows")]
     RateGrows,
-    /// The token rate did not grow with the limit.
+    /// The token rate did not grow with the limit, so the last increase is undone.
     #[display("token rate does not grow")]
     RateFlat,
-    /// The time between tokens is over its target.
+    /// The time between tokens exceeds its target, so the limit is lowered.
     #[display("time between tokens over target")]
     SlowTokens,
 }
 
-/// The learned limit of calls that run at once on an upstream.
+/// Adaptive limit of the concurrent calls on an upstream.
 ///
-/// The limit climbs while it binds and a larger batch raises the token rate
-/// by at least a quarter of its own growth; it falls when the time between
-/// tokens exceeds its target. It settles near the knee of the batch curve.
+/// The limit rises while it is reached and the token rate grows by at least a quarter of the
+/// growth of the limit. It falls when the time between tokens exceeds its target. So it
+/// converges near the batch size beyond which throughput stops growing.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConcurrencyLimit {
-    /// The present limit.
+    /// The present limit, in calls.
     pub calls: u32,
-    /// Lowest limit.
+    /// Lower bound of the limit.
     pub min: u32,
-    /// Highest limit.
+    /// Upper bound of the limit.
     pub max: u32,
-    /// Mean time between two tokens.
+    /// Moving average of the time between two tokens; 0 before the first attempt.
     pub token_us: u64,
-    /// The limit and token rate before the last increase.
+    /// Limit and token rate before the last increase, until its effect is known.
     previous: Option<(u32, u64)>,
     rate_sum: u64,
     reports: u32,
@@ -51,7 +52,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Makes a limit in the middle of its range.
+    /// Creates a limit that starts in the middle of its range.
     pub fn new(min: u32, max: u32) -> Self {
         let mut limit = Self::default();
         limit.set_range(min, max);
@@ -59,21 +60,21 @@
         limit
     }
 
-    /// Changes the range.
+    /// Changes the bounds and moves the limit into them.
     pub fn set_range(&mut self, min: u32, max: u32) {
         self.min = min.max(1);
         self.max = max.max(self.min);
         self.calls = self.calls.clamp(self.min, self.max);
     }
 
-    /// Learns from a load report; returns why the limit changed, if it did.
+    /// Records a load report; returns the reason if the limit changed.
     pub fn record_load(
         &mut self,
         now_us: u64,
         running_calls: u32,
         tokens_per_s: u64,
     ) -> Option<LimitReason> {
-        // The token rate says something about the limit only while it binds.
+        // The token rate depends on the limit only while the limit is reached.
         if running_calls < self.calls || now_us < self.reports_from_us {
             return None;
         }
@@ -86,14 +87,14 @@
         self.step(now_us, rate)
     }
 
-    /// Learns from the time between tokens of a finished attempt.
+    /// Records the token time of a finished attempt; returns the reason if the limit changed.
     pub fn record_token_time(
         &mut self,
         now_us: u64,
         token_us: u64,
         target_us: u64,
     ) -> Option<LimitReason> {
-        // Attempts that ran under the limit before a decrease say nothing about the present one.
+        // Attempts that started before a decrease ran under the earlier limit.
         if now_us < self.decreased_us + DECREASE_COOLDOWN_US {
             return None;
         }
@@ -113,12 +114,12 @@
         Some(LimitReason::SlowTokens)
     }
 
-    /// Raises the limit if the last increase raised the token rate.
+    /// Raises the limit, or undoes the last increase if it did not raise the token rate.
     fn step(&mut self, now_us: u64, rate: u64) -> Option<LimitReason> {
-        if let Some((calls, rate_before)) = self.previous.take() {
+        if let Some((calls, previous_rate)) = self.previous.take() {
             let growth_permille =
                 1_000 * u64::from(self.calls.saturating_sub(calls)) / u64::from(calls.max(1));
-            if rate * 1_000 < rate_before * (1_000 + growth_permille / 4) {
+            if rate * 1_000 < previous_rate * (1_000 + growth_permille / 4) {
                 self.set_calls(now_us, calls);
                 self.reports_from_us = now_us + HOLD_US;
                 return Some(LimitReason::RateFlat);
@@ -129,7 +130,7 @@
         raised.then_some(LimitReason::RateGrows)
     }
 
-    /// Sets the limit within its range and starts counting anew.
+    /// Sets the limit within its bounds, resets the average and returns whether the limit changed.
     fn set_calls(&mut self, now_us: u64, calls: u32) -> bool {
         let calls = calls.clamp(self.min, self.max);
         let is_changed = calls != self.calls;
--- a/crates/core/src/tables/loan.rs
+++ b/crates/core/src/tables/loan.rs
@@ -1,4 +1,4 @@
-//! Shares of client accounts that this VM has lent as their owner.
+//! Shares of client accounts that this VM lends to other VMs as owner of the accounts.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -8,20 +8,20 @@
 use crate::ids::{AccountName, Epoch, Incarnation, VmName};
 use crate::message::{ShareId, Unlent};
 
-/// Grants that are kept until they are confirmed; older ones are merged.
+/// Unconfirmed grants that are kept apart for each loan; older ones are merged.
 const MAX_OPEN_GRANTS: usize = 8;
 
-/// A rate and a burst.
+/// A rate and a burst, in thousandths of a call per second and billionths of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RateLimit {
-    /// The rate.
+    /// Sustained rate.
     pub rate_mcalls_per_s: u64,
-    /// The burst.
+    /// Capacity of the token bucket.
     pub burst_ncalls: u64,
 }
 
 impl RateLimit {
-    /// Adds another rate and burst.
+    /// Adds both rates and both bursts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -49,53 +49,53 @@
     }
 }
 
-/// One start of a VM that holds a share.
+/// One incarnation of a VM that holds a share.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Holder {
-    /// The VM.
+    /// VM that holds the share.
     pub vm: VmName,
-    /// The start of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// A share that this VM has lent.
+/// A share of an account that this VM has lent to a holder.
 #[derive(Debug, Clone)]
 pub struct Loan {
-    /// The share.
+    /// Identity of the share.
     pub id: ShareId,
-    /// The demand that opened it.
+    /// Number of the demand that opened the loan.
     pub opened_seq: u64,
-    /// The newest demand of the holder.
+    /// Number of the latest demand of the holder.
     pub demand_seq: u64,
-    /// When that demand was sent, on the holder's clock.
+    /// Time at which that demand was sent, on the holder's clock.
     pub demand_sent_us: u64,
-    /// When that demand arrived.
+    /// Time at which that demand arrived.
     pub demand_arrived_us: u64,
-    /// When the last grant has certainly ended at the holder.
+    /// Time by which the last grant has certainly ended at the holder.
     pub expires_us: u64,
-    /// The last grant.
+    /// Number of the last grant.
     pub grant_seq: u64,
-    /// What the last grant says.
+    /// Rate limit of the last grant.
     pub granted: RateLimit,
-    /// Grants by number, from the last one that the holder confirmed to the last one.
+    /// Numbers and rate limits of grants, from the last confirmed one to the last one sent.
     pub open_grants: SmallVec<[(u64, RateLimit); 2]>,
-    /// All calls that moved to the holder.
+    /// Total of calls moved to the holder.
     pub moved_ncalls: u64,
-    /// All calls that the holder has confirmed.
+    /// Total of moved calls that the holder has confirmed.
     pub received_ncalls: u64,
-    /// All calls that the holder has given back.
+    /// Total of calls that the holder has returned.
     pub returned_ncalls: u64,
-    /// All calls that were asked back.
+    /// Total of calls recalled from the holder.
     pub recalled_ncalls: u64,
-    /// The part of the account that the holder should have, relative to others.
+    /// Weight of the holder in the division of the account, relative to the other holders.
     pub weight: u64,
-    /// The rate that the holder wants.
+    /// Rate that the holder wants.
     pub wanted_mcalls_per_s: u64,
-    /// Calls that waited at the holder.
+    /// Calls that waited at the holder at `reported_us`.
     pub waiting_calls: u64,
-    /// Calls in the holder's bucket.
+    /// Level of the holder's bucket at `reported_us`.
     pub level_ncalls: u64,
-    /// When the holder reported these.
+    /// Time of the last report of the holder or of the last grant.
     pub reported_us: u64,
     /// Whether the holder is in the queue for calls.
     pub is_queued: bool,
@@ -103,7 +103,7 @@
 
 /// # Changes
 impl Loan {
-    /// Makes a loan with nothing lent yet.
+    /// Creates a loan without a grant.
     pub fn new(id: ShareId, opened_seq: u64) -> Self {
         Self {
             id,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Grants other limits, moves calls to the holder and asks calls back.
+    /// Records a new grant that moves calls to the holder and recalls calls from it.
     pub fn grant(
         &mut self,
         limits: RateLimit,
@@ -157,10 +157,10 @@
 
 /// # Totals
 impl Loan {
-    /// Returns what the holder may use at most until it confirms the last grant.
+    /// Returns the most that the holder may use until it confirms the last grant.
     ///
-    /// Before it applies the last grant, its bucket may be full under an
-    /// earlier one when the calls that are on their way arrive.
+    /// Before it applies the last grant, its bucket may be full under an earlier one when the calls
+    /// in transit arrive.
     pub fn upper_bound(&self) -> RateLimit {
         let moving_ncalls = self.moved_ncalls - self.received_ncalls;
         let limits = self.open_grants.iter().map(|(_, limits)| *limits);
@@ -177,12 +177,12 @@
         }
     }
 
-    /// Forgets grants before the one that the holder confirms.
+    /// Removes the grants before the one that the holder confirms.
     pub fn confirm(&mut self, applied_seq: u64) {
         self.open_grants.retain(|(seq, _)| *seq >= applied_seq);
     }
 
-    /// Estimates the calls in the holder's bucket.
+    /// Estimates the present level of the holder's bucket.
     pub fn estimate_level_ncalls(&self, now_us: u64) -> u64 {
         let elapsed_us = now_us.saturating_sub(self.reported_us);
         let grown_ncalls = self.estimate_fill_mcalls_per_s().saturating_mul(elapsed_us);
@@ -190,10 +190,10 @@
         level_ncalls.min(self.granted.burst_ncalls.max(self.level_ncalls))
     }
 
-    /// Returns the rate at which the holder's bucket is assumed to fill.
+    /// Estimates the rate at which the holder's bucket fills.
     ///
-    /// A holder whose bucket runs out says so at once; until then, it is
-    /// assumed to use at most half of its rate.
+    /// A holder whose bucket runs empty reports it at once; until then, it is assumed to use at
+    /// most half of its rate.
     fn estimate_fill_mcalls_per_s(&self) -> u64 {
         if self.waiting_calls > 0 {
             return 0;
@@ -203,56 +203,56 @@
         unused.max(granted / 2)
     }
 
-    /// Orders holders by the time for which their buckets have been filling.
+    /// Estimates since when the holder's bucket has been filling; holders are sorted by it.
     ///
-    /// This time does not change between reports, so the order can be kept.
+    /// It does not change between reports, so the sorted set stays valid.
     fn filling_since_us(&self) -> u64 {
         let filled_us = self.level_ncalls / self.estimate_fill_mcalls_per_s().max(1);
         self.reported_us.saturating_sub(filled_us)
     }
 
-    /// Orders holders by how well they are served compared with their weight.
+    /// Returns the granted rate per weight; holders are sorted by it.
     fn service_level(&self) -> u64 {
-        // 1,024 keeps ten bits of the fraction.
+        // The factor of 1,024 keeps ten bits of the fraction.
         self.granted.rate_mcalls_per_s.saturating_mul(1_024) / self.weight.max(1)
     }
 }
 
-/// The wait of a new owner for shares that it does not know.
+/// State of a new owner that waits for reports of the shares lent before.
 #[derive(Debug, Clone, Default)]
 pub struct Takeover {
-    /// What live holders and the earlier owner have reported.
+    /// Sum of what live holders and earlier owners have reported.
     pub known_limits: RateLimit,
-    /// When all grants of earlier owners have ended.
+    /// Time at which all grants of earlier owners have ended.
     pub until_us: u64,
-    /// Shares that were adopted.
+    /// Shares lent by earlier owners that this owner has taken into its loans.
     pub adopted: HashSet<ShareId>,
-    /// Earlier owners that stated what they had not lent.
+    /// Earlier owners that have reported what they had not lent.
     pub reported: HashSet<Holder>,
 }
 
 /// A client account that this VM owns.
 #[derive(Debug, Clone, Default)]
 pub struct OwnedAccount {
-    /// What may be lent: the published limits, or during a takeover what is known to be free.
+    /// What may be lent: the published limit, or during a takeover the part known to be free.
     pub limits: RateLimit,
-    /// What is not lent, with the calls that have gathered there.
+    /// What is not lent, with the calls that have accumulated there.
     pub reserve: Bucket,
-    /// What is lent, including grants that are on their way.
+    /// What is lent, including grants in transit.
     pub lent: RateLimit,
-    /// The weights of all holders.
+    /// Sum of the weights of all holders.
     pub weight: u64,
-    /// Loans by holder.
+    /// Loans, by holder.
     pub loans: Table<Holder, Loan>,
-    /// Holders by how well they are served; the last has most for its weight.
+    /// Holders by granted rate per weight; the last has most for its weight.
     pub by_service_level: BTreeSet<(u64, Holder)>,
-    /// Holders by the time since which their buckets fill; the first has most to give.
+    /// Holders by the time since which their buckets fill; the first can return most.
     pub by_filling: BTreeSet<(u64, Holder)>,
     /// Holders that need calls, in the order of their demands.
     pub queue: VecDeque<Holder>,
-    /// The wait after a change of owner.
+    /// State of the takeover from an earlier owner, until it ends.
     pub takeover: Option<Takeover>,
-    /// When the queue is looked at again; 0 if no timer runs.
+    /// Due time of the timer that checks the queue; 0 if none is set.
     pub queue_due_us: u64,
 }
 
@@ -266,7 +266,7 @@
         self.update_reserve(now_us);
     }
 
-    /// Removes a loan; what was lent is free again.
+    /// Removes a loan, which frees what was lent.
     pub fn remove(&mut self, holder: &Holder, now_us: u64) -> Option<Loan> {
         let loan = self.loans.remove(holder)?;
         self.subtract_from_totals(holder, &loan);
@@ -274,7 +274,7 @@
         Some(loan)
     }
 
-    /// Changes a loan and brings totals and orders up to date.
+    /// Changes a loan and updates the totals and sorted sets.
     pub fn update(&mut self, holder: &Holder, now_us: u64, change: impl FnOnce(&mut Loan)) {
         let Some(mut loan) = self.loans.get(holder).cloned() else {
             return;
@@ -292,21 +292,21 @@
         self.update_reserve(now_us);
     }
 
-    /// Adds calls that came back, up to the burst that is not lent.
+    /// Adds returned calls to the reserve, up to the burst that is not lent.
     ///
-    /// The rest is lost: kept for later, it would exceed the account's burst.
+    /// The rest is dropped, because the account could otherwise exceed its burst later.
     pub fn deposit(&mut self, ncalls: u64) {
         let level_ncalls = self.reserve.level_ncalls.saturating_add(ncalls);
         self.reserve.level_ncalls = level_ncalls.min(self.reserve.burst_ncalls);
     }
 
-    /// Returns whether more is lent than may be.
+    /// Returns whether more is lent than `limits` allows.
     pub fn is_over_limits(&self) -> bool {
         self.lent.rate_mcalls_per_s > self.limits.rate_mcalls_per_s
             || self.lent.burst_ncalls > self.limits.burst_ncalls
     }
 
-    /// Works out what is not lent; the time before counts at the old rate.
+    /// Recomputes what is not lent; the time until now is refilled at the old rate.
     fn update_reserve(&mut self, now_us: u64) {
         let (limits, lent) = (self.limits, self.lent);
         let reserve = &mut self.reserve;
@@ -318,7 +318,7 @@
         reserve.level_ncalls = reserve.level_ncalls.min(reserve.burst_ncalls);
     }
 
-    /// Adds a loan to totals and orders.
+    /// Adds a loan to the totals and sorted sets.
     fn add_to_totals(&mut self, holder: &Holder, loan: &Loan) {
         let counted = loan.upper_bound();
         self.lent.rate_mcalls_per_s += counted.rate_mcalls_per_s;
@@ -330,7 +330,7 @@
         self.by_filling.insert(filling);
     }
 
-    /// Removes a loan from totals and orders.
+    /// Removes a loan from the totals and sorted sets.
     fn subtract_from_totals(&mut self, holder: &Holder, loan: &Loan) {
         let counted = loan.upper_bound();
         self.lent.rate_mcalls_per_s -= counted.rate_mcalls_per_s;
@@ -343,19 +343,19 @@
     }
 }
 
-/// What the owner's side of the rates keeps beside its rows.
+/// State of a VM as owner of accounts that belongs to no single account.
 #[derive(Debug, Clone, Default)]
 pub struct Ownership {
-    /// The view that owners were worked out for.
+    /// Epoch of the view from which owners were last computed.
     pub epoch: Epoch,
-    /// When it was learned.
+    /// Time at which this VM learned of that view.
     pub learned_us: u64,
-    /// Shares opened by this start.
+    /// Shares opened by this process.
     pub opened_shares: u64,
-    /// Members that have not answered the query of this epoch.
+    /// Members that have not answered the query for shares of this epoch.
     pub unanswered: Vec<VmName>,
-    /// Accounts that were taken over in this epoch.
+    /// Accounts that this VM took over in this epoch.
     pub taken_over: Vec<AccountName>,
-    /// What this VM had not lent of accounts that it owned in the epoch before.
+    /// What this VM had not lent of accounts that it owned in the previous epoch.
     pub unlent: Table<AccountName, Unlent>,
 }
--- a/crates/core/src/tables/mod.rs
+++ b/crates/core/src/tables/mod.rs
@@ -1,13 +1,12 @@
-//! Tables of entities.
+//! Tables of the entities on which the systems run.
 //!
-//! The control thread owns all tables. Systems look rows up by key and keep
-//! work lists of the rows that changed, so that no decision scans a table.
+//! The control thread owns all tables. Systems look rows up by key and keep work lists of the
+//! rows that changed, so that no decision scans a table.
 
 mod account;
 mod bucket;
 mod budget;
 mod call;
-mod footprint;
 mod health;
 mod homes;
 mod lease;
@@ -16,6 +15,7 @@
 mod membership;
 mod order;
 mod peer;
+mod placement_history;
 mod pool;
 mod program;
 mod queue;
@@ -34,7 +34,6 @@
 pub use bucket::{Bucket, NCALLS_PER_CALL};
 pub use budget::{Budget, BudgetDecision, BudgetRecord, Coverage, ProcessUsage};
 pub use call::{Call, LastRun, PlacementState, RelayState, Stage};
-pub use footprint::{CacheHint, PlacementHistory};
 pub use health::{Health, LostAttempt};
 pub use homes::{
     HandOverProgress, Homes, PendingProgramRequest, PendingSettle, Release, Tombstone, Transfer,
@@ -49,6 +48,7 @@
 };
 pub use order::{PendingOrder, ServiceOrders};
 pub use peer::{Peer, Peering};
+pub use placement_history::{CacheHint, PlacementHistory};
 pub use pool::Pool;
 pub use program::{FinishedTurn, Links, MAX_SERVED, Phase, Program, Turn, UnknownTurn, Usage};
 pub use queue::{Candidates, LaneOrder, Queue, QueuedCall, Rank};
@@ -72,71 +72,71 @@
 };
 use crate::message::Finish;
 
-/// All state of the core of one VM.
+/// Complete state of the core on one VM.
 #[derive(Debug, Default)]
 pub struct Tables {
     /// The configuration in force.
     pub fleet: Arc<FleetConfig>,
-    /// The newest revision that this VM has heard of.
+    /// The newest revision of the configuration that this VM knows to exist.
     pub newest_revision: Revision,
-    /// The revision that was last asked for, and when.
+    /// The revision that was last requested from another VM, with the time of the request.
     pub config_requested: Option<(Revision, u64)>,
     /// Client accounts.
     pub accounts: Table<AccountName, Account>,
-    /// What this VM may spend of client accounts.
+    /// What this VM may admit for client accounts, and the calls that wait for it.
     pub shares: Table<AccountName, Share>,
-    /// Client accounts that this VM owns.
+    /// Client accounts that this VM owns, with the shares that it has lent.
     pub owned_accounts: Table<AccountName, OwnedAccount>,
-    /// The owner's side of the rates beside its rows.
+    /// State of this VM as owner of accounts that belongs to no single account.
     pub ownership: Ownership,
-    /// Callers' keys.
+    /// API keys of callers.
     pub keys: Table<KeyId, Key>,
-    /// Services.
+    /// Published services.
     pub services: Table<ServiceName, ServiceConfig>,
-    /// The service that offers each model.
+    /// Service that offers each model.
     pub models: Table<ModelName, ServiceName>,
-    /// Queues of the pools that this VM owns.
+    /// Pools of upstreams, with the queues of those that this VM owns.
     pub pools: Table<PoolKey, Pool>,
-    /// Upstreams.
+    /// Upstreams of all services.
     pub upstreams: Table<UpstreamName, Upstream>,
-    /// Orders to the engines of services whose orders this VM gives.
+    /// Orders to the engines of services, for those services whose orders this VM owns.
     pub orders: Table<ServiceName, ServiceOrders>,
     /// Programs whose home is this VM.
     pub programs: Table<ProgramKey, Program>,
-    /// What this VM keeps as home and as entry VM besides programs and calls.
+    /// State of this VM as home and as entry VM, besides programs and calls.
     pub homes: Homes,
-    /// Calls that arrived at this VM.
+    /// Calls that entered the fleet through this VM.
     pub calls: Table<CallId, Call>,
-    /// Attempts placed by this VM as owner of their pool.
+    /// Running attempts that this VM has placed as owner of their pool.
     pub running: Table<AttemptId, RunningAttempt>,
-    /// Ended attempts whose end the owner of their pool has not confirmed.
+    /// Ends of attempts that the owner of their pool has not confirmed.
     pub finishing: Table<AttemptId, Finish>,
-    /// What this VM, as owner of pools, remembers about programs.
+    /// Earlier placement of programs, recorded by this VM as owner of pools.
     pub placement_histories: Table<ProgramKey, PlacementHistory>,
     /// Contents that were running when an upstream crashed.
     pub suspects: Table<ContentDigest, Suspect>,
-    /// Contents that no VM runs.
+    /// Contents that no VM runs, because upstreams crashed with them.
     pub quarantine: Table<ContentDigest, Quarantine>,
     /// The view in force.
     pub view: View,
-    /// The epoch of the view that placement has acted on.
+    /// Epoch of the last view that the placement system has applied.
     pub placement_epoch: Epoch,
-    /// The version of the view object in the store; 0 if unknown.
+    /// Version of the view object in the store; 0 if unknown.
     pub view_version: u64,
-    /// What this VM knows of others that it has heard from.
+    /// Other VMs from which messages have arrived.
     pub vms: Table<VmName, Vm>,
     /// State of the membership system.
     pub membership: Membership,
     /// The lease under which this VM acts as owner and home.
     pub lease: Lease,
-    /// Due times.
+    /// Due times of rows.
     pub timers: Timers,
-    /// Routes by host, longest prefix first.
+    /// Routes by host, the longest path prefix first.
     pub hosts: Table<Arc<str>, Vec<Arc<HostRoute>>>,
     /// Budgets of programs that have no home.
     pub budgets: Table<ProgramKey, Budget>,
     /// The other VMs under `Coordination::Peers`.
     pub peering: Peering,
-    /// What was read from the platform's store, and when.
+    /// State of the reads from the platform's store.
     pub source: Source,
 }
--- a/crates/core/src/tables/order.rs
+++ b/crates/core/src/tables/order.rs
@@ -1,27 +1,27 @@
-//! Orders to the engines of a service.
+//! Orders to the engines of a service, such as loading a model.
 
 use super::{Bucket, Table};
 use crate::ids::{FencingToken, UpstreamName};
 use crate::output::OrderAction;
 
-/// Orders to the engines of a service, kept by the owner of the orders.
+/// Orders to the engines of a service; a row exists on the VM that owns the orders.
 #[derive(Debug, Default)]
 pub struct ServiceOrders {
-    /// The number of the last order.
+    /// Number of the last order.
     pub seq: u64,
-    /// Loads that the weight store still allows.
+    /// Budget of model loads that keeps the weight store from being overloaded.
     pub loads: Bucket,
-    /// Orders without an answer.
+    /// Orders without an answer, by engine.
     pub open: Table<UpstreamName, PendingOrder>,
 }
 
 /// An order without an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingOrder {
-    /// Its fencing token.
+    /// Fencing token of the order.
     pub token: FencingToken,
-    /// What the engine was told to do.
+    /// Action that the engine has to perform.
     pub action: OrderAction,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent_us: u64,
 }
--- a/crates/core/src/tables/peer.rs
+++ b/crates/core/src/tables/peer.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of the others under `Coordination::Peers`.
+//! Other VMs under `Coordination::Peers`, known by their summaries.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,42 +7,42 @@
 use crate::ids::{AccountName, Incarnation, Revision, UpstreamName, VmName};
 use crate::message::ListStamp;
 
-/// Rounds of summaries whose time is remembered.
+/// Rounds of summaries whose sending time is kept.
 const MAX_SENT_ROUNDS: usize = 64;
 
-/// Another VM.
+/// Another VM, as known from its summaries.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// The start of its process; `None` until it is heard.
+    /// Incarnation of its process; `None` until a summary has arrived.
     pub incarnation: Option<Incarnation>,
-    /// The address at which it takes summaries.
+    /// Address at which it receives summaries.
     pub address: Arc<str>,
-    /// When it became known.
+    /// Time at which it became known.
     pub known_us: u64,
-    /// When its last summary arrived; `None` if none has.
+    /// Time at which its last summary arrived; `None` if none has.
     pub last_heard_us: Option<u64>,
-    /// Whether it counts as one that shares the rates of accounts.
+    /// Whether it counts as one of the VMs that share the rates of accounts.
     pub is_reachable: bool,
-    /// Its last summary.
+    /// Round of its last summary.
     pub round: u64,
-    /// The last summary of this VM that it has confirmed.
+    /// Round of the last summary from this VM that it has acknowledged.
     pub acked_round: u64,
-    /// Whether it is about to end.
+    /// Whether it has announced that its process will end.
     pub is_leaving: bool,
-    /// The revision in force there.
+    /// Revision of the configuration in force there.
     pub revision: Revision,
-    /// The list of upstreams in force there.
+    /// Stamp of the list of upstreams in force there.
     pub list: ListStamp,
-    /// Its calls on upstreams.
+    /// Number of its calls on each upstream.
     pub running: Vec<(UpstreamName, u32)>,
-    /// Calls of accounts that it has admitted.
+    /// Total of calls that it has admitted for each account.
     pub admitted: Table<AccountName, u64>,
     /// Whether `admitted` holds its totals; those of its first summary are no new calls.
     pub has_admitted_baseline: bool,
 }
 
 impl Peer {
-    /// Makes the row of a VM that has not been heard.
+    /// Creates the row of a VM from which no summary has arrived.
     pub fn new(address: &str, now_us: u64) -> Self {
         Self {
             incarnation: None,
@@ -61,40 +61,40 @@
         }
     }
 
-    /// Returns when it was last heard, or when it became known.
+    /// Returns the time of its last summary, or else the time at which it became known.
     pub fn last_contact_us(&self) -> u64 {
         self.last_heard_us.unwrap_or(self.known_us)
     }
 }
 
-/// The exchange of summaries.
+/// State of the exchange of summaries.
 #[derive(Debug, Default)]
 pub struct Peering {
     /// The other VMs.
     pub peers: Table<VmName, Peer>,
-    /// The last round of summaries that was sent.
+    /// Number of the last round of summaries that was sent.
     pub round: u64,
-    /// When the last rounds were sent.
+    /// Numbers and sending times of the last rounds.
     sent_rounds: VecDeque<(u64, u64)>,
-    /// Calls that this VM has admitted, with the round that tells of the last change.
+    /// Total of calls that this VM has admitted, with the round that reports the last change.
     pub admitted: Table<AccountName, (u64, u64)>,
-    /// VMs that share the rates of accounts with this one, itself included.
+    /// Number of VMs that share the rates of accounts, this one included.
     pub reachable_vms: u64,
-    /// VMs that may be serving, this one included.
+    /// Number of VMs that may be serving, this one included.
     pub known_vms: u64,
-    /// The position of this VM among those that are heard, by name.
+    /// Position of this VM by name among the reachable ones.
     pub rank: u64,
-    /// When a snapshot was last asked for; `None` if none is under way.
+    /// Time of the request for a snapshot that is in flight; `None` if there is none.
     pub snapshot_requested_us: Option<u64>,
 }
 
 impl Peering {
-    /// Returns the next round, which tells of what changes now.
+    /// Returns the next round, which will report what changes now.
     pub fn next_round(&self) -> u64 {
         self.round + 1
     }
 
-    /// Starts a round.
+    /// Starts a round and returns its number.
     pub fn start_round(&mut self, now_us: u64) -> u64 {
         self.round += 1;
         self.sent_rounds.push_back((self.round, now_us));
@@ -104,7 +104,7 @@
         self.round
     }
 
-    /// Returns when a round was sent.
+    /// Returns the time at which a round was sent, if it is still kept.
     pub fn sent_us(&self, round: u64) -> Option<u64> {
         let at = self
             .sent_rounds
@@ -119,7 +119,7 @@
         *row = (row.0 + 1, round);
     }
 
-    /// Takes back the count of an admitted call that did not run.
+    /// Reverts the count of an admitted call that did not run.
     pub fn uncount_admitted(&mut self, account: &AccountName) {
         let round = self.next_round();
         if let Some(row) = self.admitted.get_mut(account) {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Returns the part of an account's rate that the heard VMs may use, as a fraction.
+    /// Returns the part of an account's rate that the reachable VMs may use, as a fraction.
     pub fn usable_fraction(&self) -> (u64, u64) {
         let known = self.known_vms.max(1);
         (self.reachable_vms.clamp(1, known), known)
--- a/crates/core/src/tables/pool.rs
+++ b/crates/core/src/tables/pool.rs
@@ -12,34 +12,35 @@
     pub upstreams: Vec<UpstreamName>,
     /// Upstreams with room for a call, by load in thousandths of their limit.
     pub available: BTreeSet<(u64, UpstreamName)>,
-    /// Upstreams that are excluded for their failures.
+    /// Upstreams that are ejected because of failures.
     pub ejected: BTreeSet<UpstreamName>,
     /// Calls that wait for an upstream.
     pub queue: Queue,
-    /// Calls whose content was in a crash, while a copy runs or the crash is examined.
+    /// Calls held back because their content was in a crash, while another call with it runs or the
+    /// crash is examined.
     pub held: BTreeMap<ContentDigest, VecDeque<QueuedCall>>,
-    /// Calls whose content was in two crashes; they run alone on an upstream.
+    /// Calls whose content was in two crashes; each must be the only call on its upstream.
     pub exclusive: VecDeque<QueuedCall>,
-    /// Upstreams kept free for a call that runs alone.
+    /// Upstreams kept free for a call that must be the only one there.
     pub reserved: BTreeSet<UpstreamName>,
-    /// What retries the calls of this VM may still use.
+    /// Retry budget for the calls of this VM.
     pub retry_budget: RetryBudget,
-    /// Mean tokens of a response.
+    /// Moving average of the tokens of a response.
     pub mean_answer_tokens: u64,
-    /// The position of the next upstream, for placement in turn.
+    /// Index of the next upstream for round-robin placement.
     pub next_round_robin: usize,
 }
 
 impl Pool {
-    /// Returns whether a call waits here in any way.
+    /// Returns whether a call waits in the queue, is held back or waits for an exclusive run.
     pub fn is_waiting(&self, attempt: &AttemptId) -> bool {
-        let is_it = |waiting: &QueuedCall| waiting.place.attempt == *attempt;
+        let is_same = |waiting: &QueuedCall| waiting.place.attempt == *attempt;
         self.queue.get(attempt).is_some()
-            || self.exclusive.iter().any(is_it)
-            || self.held.values().flatten().any(is_it)
+            || self.exclusive.iter().any(is_same)
+            || self.held.values().flatten().any(is_same)
     }
 
-    /// Removes a call that waits.
+    /// Removes a waiting call.
     pub fn remove_waiting(&mut self, attempt: AttemptId) {
         let is_other = |waiting: &QueuedCall| waiting.place.attempt != attempt;
         if self.queue.remove(attempt).is_some() {
@@ -52,7 +53,7 @@
         self.held.retain(|_, held| !held.is_empty());
     }
 
-    /// Returns all calls that wait here.
+    /// Iterates over all waiting calls.
     pub fn iter_waiting(&self) -> impl Iterator<Item = &QueuedCall> {
         let held = self.held.values().flatten();
         self.queue.iter().chain(&self.exclusive).chain(held)
--- a/crates/core/src/tables/program.rs
+++ b/crates/core/src/tables/program.rs
@@ -6,24 +6,24 @@
     CallId, ContentDigest, Epoch, HistoryDigest, PoolKey, ProgramName, UpstreamName, VmName,
 };
 
-/// Upstreams that a program remembers; a further one replaces the oldest.
+/// Upstreams recorded for a program; a further one replaces the oldest.
 ///
-/// Four keep the row under 512 bytes. Memory at the replaced one is released at once.
+/// Four keep the row under 512 bytes. The program's memory at a replaced one is released at once.
 pub const MAX_SERVED: usize = 4;
 
 /// A program whose home is this VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Program {
-    /// Distinguishes programs that had the same name one after another.
+    /// Distinguishes successive programs with the same name.
     pub generation: u64,
-    /// The last finished turn.
+    /// Number of the last finished turn.
     pub turn: u32,
     /// Permits of this VM with a higher number were issued from this row.
     pub before_permits: u64,
-    /// The number of the last permit; 0 without one.
+    /// Number of the last permit; 0 if there was none.
     pub last_permit: u64,
-    /// The digest of the history up to the last finished turn.
+    /// Digest of the history up to the last finished turn.
     pub history: HistoryDigest,
     /// Whether the program accepts turns.
     pub phase: Phase,
@@ -31,25 +31,25 @@
     pub is_recovered: bool,
     /// The turn in progress.
     pub current: Option<Turn>,
-    /// The last turn that ended with an unknown outcome, until a later one finishes.
+    /// The last turn whose outcome is unknown, until a later one finishes.
     pub unknown: Option<UnknownTurn>,
-    /// The last finished turn, while its response may be kept.
+    /// The last finished turn, as long as its response may still be stored.
     pub last: Option<FinishedTurn>,
-    /// The first of the calls that wait for a turn of this program.
+    /// The first call in the list of those that wait for a turn of this program.
     pub first_wait: Option<CallId>,
-    /// What the whole tree has used; only kept up in the row of a root.
+    /// Use by the program and all its sub-agents; maintained only in the row of a root.
     pub usage: Usage,
-    /// When the program started, on this VM's clock.
+    /// Time at which the program started, on this VM's clock.
     pub started_us: u64,
-    /// When its lease ends.
+    /// End of its lease.
     pub lease_until_us: u64,
-    /// The epoch from which every turn of the program is known here.
+    /// Epoch from which on every turn of the program is known here.
     pub known_from: Epoch,
     /// Upstreams that may hold memory of the program.
     pub served: SmallVec<[UpstreamName; MAX_SERVED]>,
     /// Pools in which an unknown upstream may hold memory of the program.
     pub unknown_pools: Vec<PoolKey>,
-    /// The places of the row in the tree.
+    /// Links to other rows of the tree.
     pub links: Links,
 }
 
@@ -59,21 +59,21 @@
 pub enum Phase {
     /// It accepts turns.
     Open,
-    /// Its caller ended it; it goes away when its turn in progress ends.
+    /// Its caller has ended it; the row is removed when its turn in progress ends.
     Ended,
     /// Its budget is used up; the row stays until its lease ends.
     Exhausted,
 }
 
-/// What a program and its sub-agents have used of the budget.
+/// Use of the budget by a program and its sub-agents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Usage {
-    /// Tokens used.
+    /// Tokens used by ended turns.
     pub spent_tokens: u64,
     /// Tokens reserved by turns in progress.
     pub reserved_tokens: u64,
-    /// Turns that have begun and were not settled as not run.
+    /// Turns that have begun, except those that turned out not to have run.
     pub turns: u32,
     /// Turns in progress.
     pub running: u32,
@@ -83,31 +83,31 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Turn {
-    /// The call that runs it.
+    /// Call that runs the turn.
     pub call: CallId,
-    /// The entry VM of the call.
+    /// Entry VM of the call.
     pub vm: VmName,
-    /// The number of the turn.
+    /// Number of the turn.
     pub number: u32,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Tokens reserved for it.
+    /// Tokens reserved for the turn.
     pub reserved_tokens: u64,
     /// Identifies the content across resends.
     pub digest: ContentDigest,
-    /// The upstreams that may run it.
+    /// Pool of the upstreams that may run it.
     pub pool: PoolKey,
 }
 
-/// A turn that ended with an unknown outcome.
+/// A turn whose outcome is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct UnknownTurn {
-    /// The call that ran it or not.
+    /// Call that may have run the turn.
     pub call: CallId,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Tokens booked for it, the highest number that it can have used.
+    /// Tokens counted as used for it: the most that it can have used.
     pub booked_tokens: u64,
 }
 
@@ -115,32 +115,32 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct FinishedTurn {
-    /// The call that ran it.
+    /// Call that ran the turn.
     pub call: CallId,
-    /// The VM that keeps its response.
+    /// VM that stores its response.
     pub vm: VmName,
     /// Identifies the content across resends.
     pub digest: ContentDigest,
-    /// When the home learned of its end.
+    /// Time at which the home learned of its end.
     pub ended_us: u64,
 }
 
-/// The places of a program in its tree: a list of all sub-agents hangs off the root.
+/// Links of a program in its tree: the root heads a linked list of all sub-agents.
 ///
-/// Links between rows keep the row of a root small however many sub-agents it has.
+/// A linked list keeps the row of a root small however many sub-agents it has.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Links {
-    /// In the row of a root: the first sub-agent.
+    /// In the row of a root: the first sub-agent in the list.
     pub first: Option<ProgramName>,
-    /// In the row of a sub-agent: the one before it.
+    /// In the row of a sub-agent: the one before it in the list.
     pub previous: Option<ProgramName>,
-    /// In the row of a sub-agent: the one after it.
+    /// In the row of a sub-agent: the one after it in the list.
     pub next: Option<ProgramName>,
 }
 
 impl Program {
-    /// Returns the bytes of a row, with the memory that it alone holds.
+    /// Returns the size of the row in bytes, including heap memory that only this row refers to.
     pub fn row_bytes(&self) -> usize {
         let spilled = if self.served.spilled() {
             self.served.capacity() * size_of::<UpstreamName>()
@@ -161,7 +161,7 @@
             && self.unknown_pools.is_empty()
     }
 
-    /// Returns whether nobody could miss the row.
+    /// Returns whether the row can be removed without loss.
     pub fn is_unused(&self) -> bool {
         self.is_blank() && self.first_wait.is_none() && self.links == Links::default()
     }
--- a/crates/core/src/tables/queue.rs
+++ b/crates/core/src/tables/queue.rs
@@ -1,4 +1,4 @@
-//! The ordered queue of a pool.
+//! Queue of a pool: fair between accounts, ordered by rank within an account.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,13 @@
 use crate::ids::{AccountName, AttemptId, VmName};
 use crate::message::Place;
 
-/// Accounts considered for one assignment.
+/// Accounts considered for one assignment of an upstream.
 const MAX_CANDIDATE_LANES: usize = 4;
 
-/// Calls of one account considered for one assignment.
+/// Calls of one account considered for one assignment of an upstream.
 ///
-/// A call that waits for the upstream with its cache must not block the calls
-/// behind it, and a bound keeps the cost of an assignment constant.
+/// More than one, so that a call that waits for the upstream with its cache does not block the
+/// calls behind it. Few, so that the cost of an assignment is constant.
 const MAX_CANDIDATES_PER_LANE: usize = 4;
 
 /// Calls considered for one assignment, best first.
@@ -23,52 +23,52 @@
 /// A call that waits for an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuedCall {
-    /// The entry VM of the call.
+    /// Entry VM of the call.
     pub vm: VmName,
-    /// The request.
+    /// Request of the entry VM for an upstream.
     pub place: Place,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived_us: u64,
 }
 
-/// The position of a call among the calls of its account; lower goes first.
+/// Position of a call among the calls of its account; the lowest rank goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Service that the program has attained.
+    /// Service that the program of the call has attained.
     pub attained: u64,
-    /// When the call arrived.
+    /// Time at which the call arrived.
     pub arrived_us: u64,
-    /// The call, which makes ranks unique.
+    /// Identity of the attempt, which makes ranks unique.
     pub attempt: AttemptId,
 }
 
-/// The waiting calls of one account.
+/// Waiting calls of one account.
 #[derive(Debug, Default)]
 struct Lane {
-    /// Weighted service received.
+    /// Weighted service that the account has received.
     counter: u64,
     calls: BTreeSet<Rank>,
 }
 
-/// Which account goes first.
+/// Order in which accounts are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LaneOrder {
-    /// The account that has received the least weighted service.
+    /// The account that has received the least weighted service goes first.
     LeastServed,
-    /// The account whose first call has the lowest rank, unless an account is
-    /// this far behind in weighted service.
+    /// The account whose first call has the lowest rank goes first, unless the one with the least
+    /// weighted service is too far behind.
     LowestRank {
-        /// How far an account may fall behind.
+        /// Largest allowed difference in weighted service between two accounts with waiting calls.
         max_lag: u64,
     },
 }
 
-/// The account of a lane; absent for calls without one.
+/// Account of a lane; absent for calls without an account.
 type LaneKey = Option<AccountName>;
 
-/// Calls that wait for an upstream, in the order of service.
+/// Calls that wait for an upstream, in the order in which they are served.
 ///
-/// Every operation takes a time that is logarithmic in the number of calls
+/// Except for [`iter`](Self::iter), every operation takes time logarithmic in the number of calls
 /// and accounts.
 #[derive(Debug, Default)]
 pub struct Queue {
@@ -76,13 +76,16 @@
     lanes: Table<LaneKey, Lane>,
     by_counter: BTreeSet<(u64, LaneKey)>,
     by_rank: BTreeSet<(Rank, LaneKey)>,
-    /// The counter of the account that was served last.
+    /// Highest counter of an account from which a call was removed.
     floor: u64,
 }
 
 /// # Calls
 impl Queue {
     /// Adds a call to the lane of an account.
+    ///
+    /// The counter of a lane without calls is raised to the least one of the lanes with calls, so
+    /// that an account gains no advantage from a time without calls.
     pub fn push(&mut self, lane: LaneKey, rank: Rank, waiting: QueuedCall) {
         let floor = self
             .by_counter
@@ -125,7 +128,7 @@
         self.rows.is_empty()
     }
 
-    /// Iterates over the waiting calls, in no particular order.
+    /// Iterates over the waiting calls in unspecified order.
     pub fn iter(&self) -> impl Iterator<Item = &QueuedCall> {
         self.rows.iter().map(|(_, (waiting, ..))| waiting)
     }
@@ -133,12 +136,12 @@
 
 /// # Order
 impl Queue {
-    /// Books service that an account has received.
+    /// Adds service that an account has received.
     pub fn add_service(&mut self, lane: &LaneKey, service: u64) {
         self.adjust(lane, |counter| counter.saturating_add(service));
     }
 
-    /// Takes back service that was booked but not received.
+    /// Subtracts service that was added but not received.
     pub fn subtract_service(&mut self, lane: &LaneKey, service: u64) {
         self.adjust(lane, |counter| counter.saturating_sub(service));
     }
@@ -148,7 +151,7 @@
         self.lanes.get(lane).map_or(0, |row| row.counter)
     }
 
-    /// Returns the first calls in the order of service.
+    /// Returns the first calls in the given order of accounts.
     pub fn candidates(&self, order: LaneOrder) -> Candidates {
         let mut found = Candidates::new();
         match order {
@@ -168,14 +171,14 @@
         found
     }
 
-    /// Returns the account that is further behind than a bound, if there is one.
+    /// Returns the account with the least service if it is behind by more than `max_lag`.
     fn furthest_behind(&self, max_lag: u64) -> Option<&LaneKey> {
         let (least, lane) = self.by_counter.first()?;
         let (most, _) = self.by_counter.last()?;
         (most - least > max_lag).then_some(lane)
     }
 
-    /// Collects the first calls of the first lanes.
+    /// Appends the first calls of the first lanes to `found`.
     fn collect<'a>(&'a self, lanes: impl Iterator<Item = &'a LaneKey>, found: &mut Candidates) {
         for lane in lanes.take(MAX_CANDIDATE_LANES) {
             let Some(row) = self.lanes.get(lane) else {
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Changes the counter of an account.
+    /// Changes the counter of an account and updates the sorted sets.
     fn adjust(&mut self, lane: &LaneKey, change: impl FnOnce(u64) -> u64) {
         self.remove_from_orders(lane);
         let row = self.lanes.get_or_insert_with(lane, Lane::default);
@@ -194,7 +197,7 @@
         self.insert_in_orders(lane);
     }
 
-    /// Removes a lane from the ordered sets.
+    /// Removes a lane from the sorted sets.
     fn remove_from_orders(&mut self, lane: &LaneKey) {
         let Some(row) = self.lanes.get(lane) else {
             return;
@@ -206,7 +209,7 @@
         self.by_rank.remove(&(*first, lane.clone()));
     }
 
-    /// Adds a lane with calls to the ordered sets.
+    /// Adds a lane to the sorted sets if it has calls.
     fn insert_in_orders(&mut self, lane: &LaneKey) {
         let Some(row) = self.lanes.get(lane) else {
             return;
--- a/crates/core/src/tables/retry.rs
+++ b/crates/core/src/tables/retry.rs
@@ -1,9 +1,9 @@
-//! The retry budget of a pool.
+//! Retry budget of a pool, which limits retries to a percentage of calls.
 
-/// Time over which calls and retries are counted.
+/// Length of one of the two windows in which calls and retries are counted.
 const WINDOW_US: u64 = 10_000_000;
 
-/// Retries that are allowed however few calls there were.
+/// Retries that are allowed even if there were few calls.
 const MIN_RETRIES: u64 = 3;
 
 /// Counts the calls and retries of the last 10 to 20 seconds.
@@ -31,7 +31,7 @@
         self.calls[0] += 1;
     }
 
-    /// Takes one retry; returns whether the budget allows it.
+    /// Takes one retry; returns `false` if retries would exceed `percent` of the calls.
     pub fn try_take(&mut self, now_us: u64, percent: u64) -> bool {
         self.rotate_window(now_us);
         let calls: u64 = self.calls.iter().sum();
@@ -43,7 +43,7 @@
         true
     }
 
-    /// Starts a new window when the present one is over.
+    /// Starts a new window if the present one has ended.
     fn rotate_window(&mut self, now_us: u64) {
         let elapsed_us = now_us.saturating_sub(self.window_start_us);
         if elapsed_us < WINDOW_US {
--- a/crates/core/src/tables/share.rs
+++ b/crates/core/src/tables/share.rs
@@ -6,10 +6,10 @@
 use crate::ids::{CallId, Epoch, VmName};
 use crate::message::ShareId;
 
-/// Length of one slot of a meter.
+/// Length of one counting slot of a meter.
 const METER_SLOT_US: u64 = 1_000_000;
 
-/// Counts arrivals over about the last second.
+/// Measures the arrival rate over about the last second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Meter {
     slot: u64,
@@ -24,14 +24,14 @@
         self.current_calls += 1;
     }
 
-    /// Returns the rate, weighting the previous slot by its part in the last second.
+    /// Returns the rate; the previous slot counts in proportion to its part of the last second.
     pub fn rate_mcalls_per_s(&mut self, now_us: u64) -> u64 {
         self.advance(now_us);
         let rest_us = METER_SLOT_US - now_us % METER_SLOT_US;
         self.current_calls * 1_000 + self.previous_calls * rest_us / (METER_SLOT_US / 1_000)
     }
 
-    /// Starts a new slot if the time has come.
+    /// Starts a new slot if the present one has ended.
     fn advance(&mut self, now_us: u64) {
         let slot = now_us / METER_SLOT_US;
         if slot == self.slot {
@@ -44,159 +44,163 @@
     }
 }
 
-/// A grant in force.
+/// A grant in force at its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldGrant {
-    /// The share.
+    /// Identity of the share.
     pub id: ShareId,
-    /// The last grant that was applied.
+    /// Number of the last grant that was applied.
     pub applied_seq: u64,
-    /// When the grant ends, on this VM's clock.
+    /// End of the grant, on this VM's clock.
     pub until_us: u64,
-    /// All calls that were deposited with grants of the share.
+    /// Total of calls received with grants of the share.
     pub received_ncalls: u64,
-    /// All calls that were given back.
+    /// Total of calls returned to the owner.
     pub returned_ncalls: u64,
-    /// All calls that the owner has asked back, as far as answered.
+    /// Total of calls recalled by the owner, as far as this VM has answered.
     pub recalled_ncalls: u64,
 }
 
-/// What this VM may spend of a client account, and the calls that wait for it.
+/// What this VM may admit for a client account, and the calls that wait for it.
 #[derive(Debug, Clone, Default)]
 pub struct Share {
-    /// What may be admitted; empty without a grant.
+    /// Calls that may be admitted; empty without a grant.
     pub bucket: Bucket,
     /// The grant in force.
     pub held: Option<HeldGrant>,
-    /// Calls that wait for the rate, first come first served.
+    /// Calls that wait for the rate, in order of arrival.
     pub waiting: VecDeque<CallId>,
-    /// Calls that begin a program; they wait until no other call does.
+    /// Calls that begin a program; they are admitted when no other call waits.
     pub waiting_to_begin: VecDeque<CallId>,
-    /// Arrivals of the last second.
+    /// Arrival rate over the last second.
     pub arrivals: Meter,
-    /// When the last call arrived.
+    /// Time of the last arrival.
     pub last_call_us: u64,
-    /// The last demand.
+    /// Number of the last demand.
     pub demand_seq: u64,
-    /// When the last demand that asks for a grant was sent.
+    /// Time at which the last demand for a grant was sent.
     pub last_ask_us: u64,
-    /// New shares that answer an earlier demand than this are ignored.
+    /// New shares that answer a demand with a lower number are ignored.
     pub floor_seq: u64,
     /// Pause before the next demand while calls wait; 0 if none wait.
     pub retry_us: u64,
-    /// When the next demand is due; 0 if no timer runs.
+    /// Due time of the timer for the next demand; 0 if none is set.
     pub demand_due_us: u64,
-    /// When the bucket is looked at again; 0 if no timer runs.
+    /// Due time of the timer that checks the bucket; 0 if none is set.
     pub refill_due_us: u64,
-    /// Whether the owner still takes the account over and can lend little.
+    /// Whether the owner is still taking the account over and can lend little.
     pub is_owner_taking_over: bool,
-    /// The owner of the account and the epoch in which it was worked out.
+    /// Owner of the account, with the epoch of the view from which it was computed.
     pub owner: Option<(Epoch, VmName)>,
-    /// How the bucket is shared with other VMs, if no owner divides it.
+    /// State of the replicated bucket; absent if an owner divides the rate.
     pub replicated: Option<ReplicatedBucket>,
 }
 
-/// How a VM takes from a bucket of which each VM keeps a copy.
+/// State of a bucket of which every VM keeps a copy.
 ///
-/// The copies learn of each other's calls with the delay of a summary. While the level is high,
-/// calls are taken freely; below the reserve, each VM keeps to its part of the rate, so that the
-/// VMs together do not take the same calls twice.
+/// A copy learns of the calls of other VMs with the delay of a summary. While the level is high,
+/// calls are taken freely. Below the reserve, each VM keeps to its part of the rate, so that the
+/// VMs do not take the same calls twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReplicatedBucket {
-    /// Level below which each VM keeps to its part.
+    /// Level below which each VM keeps to its part of the rate.
     pub reserve_ncalls: u64,
-    /// Level below which no call that begins a program is admitted.
+    /// Level that must be left after a call that begins a program.
     pub begin_reserve_ncalls: u64,
-    /// Calls that were taken beyond the level; they are paid back from the rate.
+    /// Calls that were taken beyond the level; they are repaid from later refills.
     pub debt_ncalls: u64,
-    /// This VM's part of the rate.
+    /// Bucket with this VM's part of the rate.
     pub own_part: Bucket,
 }
 
 impl ReplicatedBucket {
-    /// Takes one call from this VM's copy of the bucket; returns whether there was one.
-    fn try_take(&mut self, bucket: &mut Bucket, begins: bool, now_us: u64) -> bool {
+    /// Takes one call from this VM's copy of the bucket; returns `false` if none may be taken.
+    fn try_take(&mut self, bucket: &mut Bucket, begins_program: bool, now_us: u64) -> bool {
         self.repay_debt(bucket, now_us);
-        let needed_ncalls = self.reserved_ncalls(begins) + NCALLS_PER_CALL;
+        let needed_ncalls = self.reserved_ncalls(begins_program) + NCALLS_PER_CALL;
         let is_ample = self.debt_ncalls == 0 && bucket.level_ncalls >= needed_ncalls;
-        let is_paced = !begins && self.own_part.try_take(now_us);
-        if is_ample || is_paced {
+        let is_within_own_part = !begins_program && self.own_part.try_take(now_us);
+        if is_ample || is_within_own_part {
             self.debit(bucket, NCALLS_PER_CALL);
         }
-        is_ample || is_paced
+        is_ample || is_within_own_part
     }
 
-    /// Returns the level that a call has to leave, apart from a VM's own part of the rate.
-    fn reserved_ncalls(&self, begins: bool) -> u64 {
-        if begins {
+    /// Returns the level that a call must leave unless it is taken from `own_part`.
+    fn reserved_ncalls(&self, begins_program: bool) -> u64 {
+        if begins_program {
             self.begin_reserve_ncalls
         } else {
             self.reserve_ncalls
         }
     }
 
-    /// Takes calls of another VM from this VM's copy of the bucket.
+    /// Takes calls from this VM's copy of the bucket; what exceeds the level becomes debt.
     pub fn debit(&mut self, bucket: &mut Bucket, ncalls: u64) {
-        let taken = bucket.level_ncalls.min(ncalls);
-        bucket.level_ncalls -= taken;
-        self.debt_ncalls += ncalls - taken;
+        let taken_ncalls = bucket.level_ncalls.min(ncalls);
+        bucket.level_ncalls -= taken_ncalls;
+        self.debt_ncalls += ncalls - taken_ncalls;
     }
 
-    /// Refills the copy, paying debt back first.
+    /// Refills the copy and repays debt from it.
     pub fn repay_debt(&mut self, bucket: &mut Bucket, now_us: u64) {
         bucket.refill(now_us);
-        let paid = bucket.level_ncalls.min(self.debt_ncalls);
-        bucket.level_ncalls -= paid;
-        self.debt_ncalls -= paid;
+        let repaid_ncalls = bucket.level_ncalls.min(self.debt_ncalls);
+        bucket.level_ncalls -= repaid_ncalls;
+        self.debt_ncalls -= repaid_ncalls;
     }
 
     /// Returns the time until one call can be taken; `None` if that never happens.
-    fn ready_in_us(&self, bucket: &Bucket, begins: bool, now_us: u64) -> Option<u64> {
-        let mut full = *bucket;
-        full.refill(now_us);
-        let needed = self.reserved_ncalls(begins) + self.debt_ncalls + NCALLS_PER_CALL;
-        let missing = needed.saturating_sub(full.level_ncalls);
+    fn ready_in_us(&self, bucket: &Bucket, begins_program: bool, now_us: u64) -> Option<u64> {
+        let mut copy = *bucket;
+        copy.refill(now_us);
+        let needed = self.reserved_ncalls(begins_program) + self.debt_ncalls + NCALLS_PER_CALL;
+        let missing = needed.saturating_sub(copy.level_ncalls);
         let ample_us = match bucket.rate_mcalls_per_s {
             0 => None,
             rate => Some(missing.div_ceil(rate)),
         };
-        let paced_us = self.own_part.ready_in_us(now_us).filter(|_| !begins);
-        match (ample_us, paced_us) {
-            (Some(ample_us), Some(paced_us)) => Some(ample_us.min(paced_us)),
-            (ample_us, paced_us) => ample_us.or(paced_us),
+        let own_part_us = self
+            .own_part
+            .ready_in_us(now_us)
+            .filter(|_| !begins_program);
+        match (ample_us, own_part_us) {
+            (Some(ample_us), Some(own_part_us)) => Some(ample_us.min(own_part_us)),
+            (ample_us, own_part_us) => ample_us.or(own_part_us),
         }
     }
 }
 
 impl Share {
-    /// Takes one call; returns whether there was one.
+    /// Takes one call; returns `false` if none may be taken.
     ///
-    /// A call that begins a program is admitted only while there is room for those that go on.
-    pub fn try_take(&mut self, begins: bool, now_us: u64) -> bool {
+    /// A call that begins a program is admitted only while there is room for calls of running
+    /// programs.
+    pub fn try_take(&mut self, begins_program: bool, now_us: u64) -> bool {
         match &mut self.replicated {
-            Some(pooled) => pooled.try_take(&mut self.bucket, begins, now_us),
+            Some(replicated) => replicated.try_take(&mut self.bucket, begins_program, now_us),
             None => self.bucket.try_take(now_us),
         }
     }
 
     /// Returns the time until one call can be taken; `None` if that never happens.
-    pub fn ready_in_us(&self, begins: bool, now_us: u64) -> Option<u64> {
+    pub fn ready_in_us(&self, begins_program: bool, now_us: u64) -> Option<u64> {
         match &self.replicated {
-            Some(pooled) => pooled.ready_in_us(&self.bucket, begins, now_us),
+            Some(replicated) => replicated.ready_in_us(&self.bucket, begins_program, now_us),
             None => self.bucket.ready_in_us(now_us),
         }
     }
 
-    /// Returns the queue of calls that begin a program, or that of the others.
-    pub fn queue_mut(&mut self, begins: bool) -> &mut VecDeque<CallId> {
-        if begins {
+    /// Returns the queue of the calls that begin a program, or the queue of all others.
+    pub fn queue_mut(&mut self, begins_program: bool) -> &mut VecDeque<CallId> {
+        if begins_program {
             &mut self.waiting_to_begin
         } else {
             &mut self.waiting
         }
     }
 
-    /// Drops the share; grants that answer earlier demands are ignored from now on.
+    /// Drops the share; grants that answer earlier demands are ignored from then on.
     pub fn drop_grant(&mut self) {
         self.held = None;
         self.bucket = Bucket::default();
--- a/crates/core/src/tables/suspect.rs
+++ b/crates/core/src/tables/suspect.rs
@@ -1,31 +1,31 @@
-//! Contents that were running when an upstream crashed.
+//! Request contents that were running when an upstream crashed.
 
-/// A content that was running when an upstream crashed.
+/// A request content that was running when an upstream crashed, and may be the cause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Suspect {
     /// Crashes during which the content ran.
     pub crashes: u32,
-    /// Lost connections with this content whose cause is still examined.
+    /// Lost connections of calls with this content whose cause is still being examined.
     pub pending_examinations: u32,
-    /// Copies that run at present in the pools of this VM.
+    /// Attempts with this content that run in the pools of this VM.
     pub running: u32,
-    /// When the content was last seen.
+    /// Time at which the content was last seen.
     pub last_seen_us: u64,
 }
 
 impl Suspect {
-    /// Crashes after which a content runs alone on an upstream.
+    /// Crashes after which a content runs only as the single call of an upstream.
     pub const EXCLUSIVE_RUN_CRASHES: u32 = 2;
 
-    /// Returns whether the content has to run alone on an upstream.
+    /// Returns whether the content may run only as the single call of an upstream.
     pub fn must_run_exclusively(&self) -> bool {
         self.crashes >= Self::EXCLUSIVE_RUN_CRASHES
     }
 }
 
-/// A content that no VM runs.
+/// A request content that no VM runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quarantine {
-    /// When the quarantine ends.
+    /// End of the quarantine.
     pub until_us: u64,
 }
--- a/crates/core/src/tables/table.rs
+++ b/crates/core/src/tables/table.rs
@@ -1,12 +1,12 @@
-//! A table with dense rows.
+//! Tables with dense rows.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 /// A table with dense rows and an index from key to row.
 ///
-/// Iteration follows the dense rows, so it depends only on the sequence of
-/// insertions and removals.
+/// Iteration follows the dense rows, so its order depends only on the sequence of insertions and
+/// removals.
 ///
 /// # Examples
 ///
@@ -46,17 +46,17 @@
         None
     }
 
-    /// Returns a row.
+    /// Returns the row of a key.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.index.get(key).map(|&at| &self.rows[at].1)
     }
 
-    /// Returns a row for change.
+    /// Returns the row of a key for modification.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         self.index.get(key).map(|&at| &mut self.rows[at].1)
     }
 
-    /// Returns a row for change, inserting it if it is missing.
+    /// Returns the row of a key for modification; inserts it first if it is missing.
     pub fn get_or_insert_with(&mut self, key: &K, value: impl FnOnce() -> V) -> &mut V {
         let at = match self.index.get(key) {
             Some(&at) => at,
@@ -68,7 +68,7 @@
         &mut self.rows[at].1
     }
 
-    /// Removes a row and returns it.
+    /// Removes a row and returns it. The last row moves into its place.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         let at = self.index.remove(key)?;
         let (_, value) = self.rows.swap_remove(at);
@@ -112,7 +112,7 @@
         self.rows.iter().map(|(key, value)| (key, value))
     }
 
-    /// Iterates over the rows for change.
+    /// Iterates over the rows for modification.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.rows.iter_mut().map(|(key, value)| (&*key, value))
     }
--- a/crates/core/src/tables/timers.rs
+++ b/crates/core/src/tables/timers.rs
@@ -1,4 +1,4 @@
-//! Due times of rows.
+//! Timers of rows.
 
 use std::collections::BTreeSet;
 
@@ -9,52 +9,52 @@
 };
 use crate::message::ShareId;
 
-/// What is due at a time.
+/// What is due when a timer fires.
 ///
-/// A timer may fire for a row that has moved on; its system checks the row.
+/// A timer may fire after the state of its row has changed, so its system checks the row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A call has waited long enough for its account's rate.
+    /// The longest wait of a call for its account's rate has ended.
     RateWait(CallId),
-    /// An account may have calls for those that wait.
+    /// The bucket of an account may have refilled for waiting calls.
     RateRefill(AccountName),
-    /// A holder has to renew its share or to ask again.
+    /// A holder has to renew its share or repeat its demand.
     ShareDemand(AccountName),
-    /// An owner may have calls for holders that wait.
+    /// An owner may have calls for waiting holders.
     LoanQueue(AccountName),
     /// The last grant of a loan may have ended.
     LoanEnd(AccountName, Holder, ShareId),
     /// All grants of earlier owners of an account may have ended.
     TakeoverEnd(AccountName),
-    /// Members that did not answer a new owner have to be asked again.
+    /// A new owner repeats its query to members that have not answered.
     ShareQuery(Epoch),
-    /// A call has waited long enough for the turn before it.
+    /// The longest wait of a call for the turn before it has ended.
     TurnWait(CallId),
-    /// A `Begin` has to be sent again.
+    /// A `Begin` is sent again.
     TurnRetry(CallId),
-    /// A turn has been in progress for long.
+    /// A turn has been in progress for long, so its entry VM is asked about it.
     TurnProbe(ProgramKey, CallId),
-    /// A `Settle` has to be sent again.
+    /// A `Settle` is sent again.
     SettleRetry(CallId),
-    /// A caller's request about a program has to be sent again.
+    /// A caller's request about a program is sent again.
     RequestRetry(CallId),
-    /// A request to end a program need not be remembered any longer.
+    /// The record of an applied request to end a program expires.
     EndedRequestExpiry(CallId),
-    /// The state of a program that is over need not be kept any longer.
+    /// The tombstone of an ended program expires.
     TombstoneExpiry(ProgramKey),
-    /// A witness need not be kept any longer.
+    /// A witness may have expired.
     WitnessExpiry(ProgramKey),
-    /// A transfer to a new home has to be sent again.
+    /// A transfer to a new home is sent again.
     TransferRetry(u64),
-    /// A release of engine memory has to be sent again.
+    /// A release of engine memory is sent again.
     ReleaseRetry(Release),
-    /// A program has had no calls for the time of its lease.
+    /// The lease of a program may have ended.
     ProgramLease(ProgramKey),
-    /// A call has waited long enough for an upstream.
+    /// The longest wait of a call for an upstream has ended.
     QueueWait(AttemptId),
-    /// The owner of a pool has not answered a request for an upstream.
+    /// The answer of the owner of a pool to a request for an upstream is overdue.
     PlaceWait(AttemptId),
-    /// The owner of a pool has not confirmed the end of an attempt.
+    /// The confirmation of the end of an attempt by the owner of its pool is overdue.
     FinishWait(AttemptId),
     /// A call has waited for three quarters of the longest wait.
     QueueAge(PoolKey, AttemptId),
@@ -62,29 +62,29 @@
     RunningCheck(AttemptId),
     /// An upstream may be ready for calls again.
     UpstreamReady(UpstreamName),
-    /// The cause of a broken connection must be decided.
+    /// The examination of a broken connection ends, and its cause has to be decided.
     CrashDecision(UpstreamName),
-    /// A program may have had no calls for a long time.
+    /// The placement history of a program may have expired.
     PlacementHistoryIdle(ProgramKey),
-    /// A content may not have been seen for a long time.
+    /// The record of a suspect content may have expired.
     SuspectIdle(ContentDigest),
     /// A quarantine may have ended.
     QuarantineEnd(ContentDigest),
-    /// Orders to the engines of a service have to be reviewed.
+    /// The orders to the engines of a service are reviewed.
     OrdersReview(ServiceName),
-    /// Heartbeats have to be sent.
+    /// Heartbeats are sent.
     Heartbeat,
-    /// The store may have to be asked for something.
+    /// A request to the store may be due.
     Store,
-    /// Summaries have to be sent.
+    /// Summaries are sent.
     Summary,
-    /// The configuration, the list of upstreams or the VMs may have to be read.
+    /// A read of the configuration, the list of upstreams or the list of VMs may be due.
     Source,
-    /// A program may have had no turns for the time that its budget is kept.
+    /// The budget of a program may have expired.
     BudgetIdle(ProgramKey),
 }
 
-/// Due times, earliest first.
+/// Pending timers, ordered by due time.
 #[derive(Debug, Default)]
 pub struct Timers {
     due: BTreeSet<(u64, Timer)>,
@@ -106,7 +106,7 @@
         self.due.first().map(|(due_us, _)| *due_us)
     }
 
-    /// Removes and returns the earliest timer that is due.
+    /// Removes and returns the earliest timer that is due at `now_us`.
     pub fn pop_due(&mut self, now_us: u64) -> Option<Timer> {
         if self.next_due_us()? > now_us {
             return None;
--- a/crates/core/src/tables/upstream.rs
+++ b/crates/core/src/tables/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams and what runs on them.
+//! Upstreams and the attempts that run on them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,54 +11,54 @@
     AccountName, AttemptId, ContentDigest, ModelName, PoolKey, ProgramKey, UpstreamName, VmName,
 };
 
-/// Time per prefill token before it has been measured.
+/// Initial estimate of the prefill time per token, until it has been measured.
 const INITIAL_PREFILL_NS_PER_TOKEN: u64 = 20_000;
 
-/// Part of a cache hint that counts before it has been measured, in percent.
+/// Initial estimate of the accuracy of cache hints in percent, until it has been measured.
 const INITIAL_HINT_ACCURACY_PERCENT: u64 = 90;
 
-/// An upstream.
+/// An upstream with its load, its health and what was learned about it.
 #[derive(Debug, Clone)]
 pub struct Upstream {
-    /// Its published settings.
+    /// Its published configuration.
     pub config: UpstreamConfig,
-    /// Its address, shared with dispatches.
+    /// Its address, shared with the outputs that dispatch calls to it.
     pub address: Arc<str>,
-    /// Models that it reports as loaded; `None` if it does not report them.
+    /// Models that it reports as loaded; `None` if it does not report models.
     pub loaded_models: Option<Vec<ModelName>>,
-    /// Reports in a row in which no call ran on it.
+    /// Consecutive load reports without a running call.
     pub idle_reports: u32,
-    /// The pools that it belongs to.
+    /// Pools that it belongs to.
     pub pools: SmallVec<[PoolKey; 1]>,
     /// Attempts that this VM, as owner of a pool, has placed on it.
     pub attempts: BTreeSet<AttemptId>,
-    /// Calls of other origin in the last load report.
+    /// Calls in the last load report that this VM did not place.
     pub foreign_calls: u32,
-    /// Most attempts at once since the last two load reports; reports lag, so
-    /// attempts that have ended may still be in them.
+    /// Highest number of concurrent attempts since the last and since the second to last load
+    /// report. Reports lag, so they may still include attempts that have ended.
     pub peak_calls: [u32; 2],
     /// Calls of this VM that run on it.
     pub own_calls: u32,
-    /// How many calls it may run at once.
+    /// Learned limit of its concurrent calls.
     pub limit: ConcurrencyLimit,
-    /// Its failures.
+    /// Failures, ejection and backoff.
     pub health: Health,
-    /// Whether one call has it for itself.
+    /// Whether it runs a call that must be the only one there.
     pub has_exclusive_call: bool,
-    /// When the prompts placed on it so far have been read.
+    /// Estimated time at which it has prefilled all prompts placed on it so far.
     pub prefill_until_us: u64,
-    /// Measured time to read one prompt token.
+    /// Measured prefill time per token.
     pub prefill_ns_per_token: u64,
-    /// Measured part of the cache hints that was found, in percent.
+    /// Measured accuracy of cache hints: the part of the hinted tokens that was cached, in percent.
     pub hint_accuracy_percent: u64,
-    /// Mean time that a call holds a place on it.
+    /// Moving average of the time that a call runs on it.
     pub mean_call_us: u64,
-    /// The load with which it is listed in the open sets of its pools.
+    /// Load with which it stands in the `available` sets of its pools; `None` if it has no room.
     pub open_load_permille: Option<u64>,
 }
 
 impl Upstream {
-    /// Makes the row of an upstream on which nothing runs.
+    /// Creates the row of an upstream on which nothing runs.
     pub fn new(config: UpstreamConfig) -> Self {
         Self {
             address: Arc::from(config.address.as_str()),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Applies new published settings; what was learned stays.
+    /// Applies a new published configuration and keeps what was learned.
     pub fn configure(&mut self, config: UpstreamConfig) {
         self.address = Arc::from(config.address.as_str());
         self.limit
@@ -89,25 +89,25 @@
         self.config = config;
     }
 
-    /// Forgets what a former start of its process held.
+    /// Resets what no longer holds after a restart of its process.
     pub fn reset_after_restart(&mut self, now_us: u64) {
         self.health = Health::default();
         self.health.cache_valid_from_us = now_us;
         self.prefill_until_us = 0;
     }
 
-    /// Returns whether calls of a model can run on it.
+    /// Returns whether it offers a model and, as far as it reports that, has it loaded.
     pub fn can_run_model(&self, model: &ModelName) -> bool {
         let is_loaded = |loaded: &Vec<ModelName>| loaded.contains(model);
         self.config.models.contains(model) && self.loaded_models.as_ref().is_none_or(is_loaded)
     }
 
-    /// Returns the calls that run on it, of all origins.
+    /// Returns the number of calls that run on it, whoever placed them.
     pub fn running_calls(&self) -> u32 {
         self.attempts.len() as u32 + self.foreign_calls
     }
 
-    /// Returns how many calls it may run at once.
+    /// Returns the limit of its concurrent calls, learned or configured.
     pub fn limit_calls(&self, is_learned: bool) -> u32 {
         if is_learned {
             self.limit.calls
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Returns whether it may get new calls at all.
+    /// Returns whether it may get new calls at all: neither leaving nor ejected nor in backoff.
     pub fn is_usable(&self, now_us: u64) -> bool {
         !self.config.leaving && self.health.is_ready(now_us)
     }
 
-    /// Returns whether it may get one more call.
+    /// Returns whether it may get one more call now.
     pub fn has_room(&self, now_us: u64, is_learned: bool) -> bool {
         self.is_usable(now_us)
             && !self.has_exclusive_call
@@ -132,27 +132,27 @@
 /// An attempt that runs on an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningAttempt {
-    /// The upstream.
+    /// Upstream that runs it.
     pub upstream: UpstreamName,
-    /// The pool that placed it.
+    /// Pool that placed it.
     pub pool: PoolKey,
-    /// The entry VM of the call.
+    /// Entry VM of the call.
     pub vm: VmName,
-    /// The account that is charged.
+    /// Account that is charged.
     pub account: Option<AccountName>,
-    /// The program.
+    /// Program of the call.
     pub program: Option<ProgramKey>,
-    /// The content.
+    /// Digest of the content.
     pub digest: ContentDigest,
-    /// Whether it has the upstream for itself.
+    /// Whether it must be the only call on the upstream.
     pub is_exclusive: bool,
-    /// When it was placed.
+    /// Time at which it was placed.
     pub placed_us: u64,
-    /// Prompts that were read before it, in prefill time.
+    /// Estimated prefill time of the prompts before it.
     pub prefill_wait_us: u64,
-    /// Tokens that were expected in the cache.
+    /// Tokens of its prompt that were expected in the cache.
     pub expected_cached_tokens: u64,
-    /// Service booked for the account.
+    /// Service that was added to the account for it.
     pub booked_service: u64,
     /// Whether it was already counted in a crash of its upstream.
     pub is_counted_in_crash: bool,
--- a/crates/core/src/tables/view.rs
+++ b/crates/core/src/tables/view.rs
@@ -1,4 +1,4 @@
-//! The view: the members of the fleet and what each of them owns.
+//! Views: the members of the fleet and what each of them owns.
 
 use smallvec::SmallVec;
 
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct View {
-    /// The number of the view.
+    /// Number of the view, which rises with each change.
     pub epoch: Epoch,
     /// The members, ordered by name.
     pub members: Vec<Member>,
-    /// The members that may write the next view.
+    /// Members that may write the next view.
     pub writers: SmallVec<[VmName; 2]>,
 }
 
@@ -24,7 +24,7 @@
 pub struct Member {
     /// The VM.
     pub vm: VmName,
-    /// The start of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub failure_domain: DomainName,
@@ -32,47 +32,47 @@
     pub address: String,
     /// Whether it is about to leave and gets no new duties.
     pub leaving: bool,
-    /// The epoch of the view that made it a member.
+    /// Epoch of the view that made it a member.
     ///
-    /// A VM that was removed and made a member again can be told from one
-    /// that stayed, even when the views between were missed.
+    /// It distinguishes a VM that was removed and made a member again from one that stayed, even
+    /// if the views in between were missed.
     pub joined: Epoch,
 }
 
-/// The difference between two views that one VM knew one after the other.
+/// The difference between two successive views of one VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ViewDelta {
-    /// The epoch before.
+    /// Epoch of the earlier view.
     pub from: Epoch,
-    /// The epoch after.
+    /// Epoch of the later view.
     pub to: Epoch,
     /// Members that are no longer in the view.
     pub removed: Vec<VmName>,
     /// Members that are new or have changed.
     pub changed: Vec<Member>,
-    /// The members that may write the next view.
+    /// Members that may write the next view.
     pub writers: SmallVec<[VmName; 2]>,
 }
 
-/// A view that came into force, as work for the other systems in the same tick.
+/// A change of the view in force, passed to the other systems in the same tick.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ViewChange {
-    /// The view before.
+    /// The view that was in force before.
     pub before: View,
-    /// The epoch of the view now in force.
+    /// Epoch of the view now in force.
     pub epoch: Epoch,
-    /// Members that were removed; a restarted VM is here and in `added`.
+    /// Members that were removed; a restarted VM is both here and in `added`.
     pub removed: Vec<Member>,
     /// Members that were added.
     pub added: Vec<Member>,
     /// Whether this VM was removed, or was removed and made a member again.
     ///
-    /// What it owned before may belong to others by now.
+    /// Others may own by now what it owned before.
     pub lost_membership: bool,
 }
 
-/// What a VM can own; keeps the hashes of different kinds apart.
+/// Kinds of things that a VM can own; the number seeds the hash, so that kinds hash differently.
 #[derive(Debug, Clone, Copy)]
 enum OwnedKind {
     Account = 1,
@@ -88,7 +88,7 @@
         self.choose_owner(OwnedKind::Account, [account.as_str(), ""])
     }
 
-    /// Returns the home of a program, which is that of its root.
+    /// Returns the home of a program, which is the home of its root.
     pub fn program_home(&self, program: &ProgramKey) -> Option<&VmName> {
         let key = [program.account.as_str(), program.name.root()];
         self.choose_owner(OwnedKind::Program, key)
@@ -100,12 +100,13 @@
         self.choose_owner(OwnedKind::Pool, [pool.service.as_str(), model])
     }
 
-    /// Returns the VM that gives the orders to the engines of a service.
+    /// Returns the VM that sends the orders to the engines of a service.
     pub fn orders_owner(&self, service: &ServiceName) -> Option<&VmName> {
         self.choose_owner(OwnedKind::Orders, [service.as_str(), ""])
     }
 
-    /// Chooses the member with the highest hash of itself and the key.
+    /// Chooses the owner by rendezvous hashing: the member with the highest hash of its name and
+    /// the key.
     fn choose_owner(&self, kind: OwnedKind, key: [&str; 2]) -> Option<&VmName> {
         let score = |member: &Member| {
             let hash = [member.vm.as_str(), key[0], key[1]]
@@ -123,13 +124,13 @@
 
 /// # Members
 impl View {
-    /// Returns a member.
+    /// Returns the member with a name.
     pub fn member(&self, vm: &VmName) -> Option<&Member> {
         let at = self.members.binary_search_by(|row| row.vm.cmp(vm)).ok()?;
         Some(&self.members[at])
     }
 
-    /// Returns a member if this start of its process is the one in the view.
+    /// Returns a member if the view contains this incarnation of it.
     pub fn member_with_incarnation(
         &self,
         vm: &VmName,
@@ -144,7 +145,7 @@
         self.writers.contains(vm)
     }
 
-    /// Returns whether this start of a VM's process may write the next view.
+    /// Returns whether this incarnation of a VM may write the next view.
     pub fn is_writer_with_incarnation(&self, vm: &VmName, incarnation: Incarnation) -> bool {
         self.is_writer(vm) && self.member_with_incarnation(vm, incarnation).is_some()
     }
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Returns the view after a difference, unless it starts from another epoch.
+    /// Returns the view after a difference, or `None` if the difference is from another epoch.
     pub fn with_delta(&self, delta: &ViewDelta) -> Option<Self> {
         if delta.from != self.epoch {
             return None;
@@ -195,9 +196,9 @@
         Some(after)
     }
 
-    /// Returns the members of this view that are not the same in another one.
+    /// Returns the members of this view that are missing or not the same in another one.
     ///
-    /// A member is the same if neither its process nor its membership started anew.
+    /// A member is the same if it has the same incarnation and the same `joined` epoch.
     pub fn members_not_in(&self, other: &Self) -> Vec<Member> {
         self.members
             .iter()
@@ -210,7 +211,7 @@
     }
 }
 
-/// Hashes a name, with a number that keeps uses apart.
+/// Hashes a name, with a salt that makes different uses hash differently.
 pub(crate) fn hash_name(name: &str, salt: u64) -> u64 {
     mix(fnv1a(salt, name))
 }
@@ -226,7 +227,7 @@
         })
 }
 
-/// Spreads the bits of a hash; FNV-1a alone leaves the high bits of short texts alike.
+/// Mixes the bits of a hash, because FNV-1a alone leaves the high bits of short texts similar.
 fn mix(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/core/src/tables/vm.rs
+++ b/crates/core/src/tables/vm.rs
@@ -1,45 +1,45 @@
-//! What a VM knows of another one.
+//! Other VMs, as known from their membership messages.
 
 use crate::ids::{Epoch, Incarnation, Revision};
 
-/// What this VM knows of another one.
+/// Another VM, as known from its membership messages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Vm {
-    /// The latest start of its process that was heard of.
+    /// Latest known incarnation of its process.
     pub incarnation: Incarnation,
-    /// When a message of this start last arrived.
+    /// Time at which the last message of this incarnation arrived.
     pub last_heard_us: u64,
-    /// The epoch that it last reported.
+    /// Epoch that it last reported.
     pub epoch: Epoch,
-    /// The epoch of the view that was last passed on to it.
+    /// Epoch of the last view that was sent to it.
     pub sent_epoch: Epoch,
-    /// The revision that it last reported.
+    /// Revision of the configuration that it last reported.
     pub revision: Revision,
-    /// Whether it says that it is leaving.
+    /// Whether it has announced that it is leaving.
     pub leaving: bool,
-    /// Its last heartbeat that asked for an answer.
+    /// Its last heartbeat that requested an answer.
     pub heartbeat_request: Option<HeartbeatRequest>,
 }
 
-/// A heartbeat that asked for an answer.
+/// A heartbeat that requested an answer, and what was sent in return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatRequest {
-    /// The round of heartbeats.
+    /// Round of the heartbeat.
     pub round: u64,
-    /// When it arrived.
+    /// Time at which it arrived.
     pub arrived_us: u64,
-    /// When it, or one before it, was last answered.
+    /// Time at which it, or an earlier one, was last answered; 0 if none was.
     pub answered_us: u64,
-    /// The confirmation that was last passed on.
+    /// Time of the confirmation that was last sent; 0 if none was.
     pub sent_confirmation_us: u64,
-    /// The revision that was last passed on.
+    /// Revision that was last sent, or the one that the heartbeat reported.
     pub sent_revision: Revision,
-    /// Whether the last answer held a promise.
+    /// Whether the last answer contained a promise.
     pub sent_promise: bool,
 }
 
 impl Vm {
-    /// Makes the row of a VM that has just been heard of.
+    /// Creates the row of a VM from which a first message has arrived.
     pub fn new(incarnation: Incarnation, now_us: u64) -> Self {
         Self {
             incarnation,
