--- a/crates/core/src/systems/config/mod.rs
+++ b/crates/core/src/systems/config/mod.rs
@@ -1,10 +1,10 @@
 //! Adopts published configurations.
 //!
-//! [`listing`] adopts the list of upstreams.
+//! [`upstream_list`] adopts the list of upstreams.
 
-mod listing;
+mod upstream_list;
 
-pub(crate) use listing::{adopt_peer_list, adopt_store_list};
+pub(crate) use upstream_list::{adopt_peer_list, adopt_store_list};
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -95,7 +95,10 @@
     }
     replace_accounts(tick, &fleet.accounts);
     if tick.settings.coordination == Coordination::Peers {
-        replace_services(tick, &listing::with_listed_upstreams(tick, &fleet.services));
+        replace_services(
+            tick,
+            &upstream_list::with_listed_upstreams(tick, &fleet.services),
+        );
         replace_host_routes(tick, &fleet.host_routes);
         tick.work.peers.announce = true;
     } else {
--- a/crates/core/src/systems/membership/mod.rs
+++ b/crates/core/src/systems/membership/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`rounds`] sends heartbeats and [`answers`] handles them, [`leases`] tracks
 //! confirmations and promises, [`suspicion`] detects failed members, [`views`]
-//! adopts and propagates views, [`writing`] proposes new ones, [`joining`] and
-//! [`leaving`] add this VM to the fleet and remove it, [`peers`] chooses who
+//! adopts and propagates views, [`proposals`] proposes new ones, [`joining`] and
+//! [`leaving`] add this VM to the fleet and remove it, [`topology`] chooses who
 //! exchanges heartbeats, [`platform`] evaluates the platform's list of VMs, and
 //! [`store`] paces the requests to the store.
 
@@ -11,13 +11,13 @@
 mod joining;
 mod leases;
 mod leaving;
-mod peers;
 mod platform;
+mod proposals;
 mod rounds;
 mod store;
 mod suspicion;
+mod topology;
 mod views;
-mod writing;
 
 use super::{Sender, Tick};
 use crate::input::{StoreEvent, VmStatus};
@@ -81,9 +81,7 @@
 /// Dispatches a message from another VM.
 fn handle_message(tick: &mut Tick<'_>, sender: &Sender, message: MembershipMessage) {
     match message {
-        MembershipMessage::Heartbeat(heartbeat) => {
-            answers::handle_heartbeat(tick, sender, &heartbeat);
-        }
+        MembershipMessage::Heartbeat(request) => answers::handle_heartbeat(tick, sender, &request),
         MembershipMessage::HeartbeatAnswer(answer) => answers::handle_answer(tick, sender, &answer),
         MembershipMessage::Suspect { vm, incarnation } => {
             suspicion::record_report(tick, sender, vm, incarnation);
--- a/crates/core/src/systems/membership/writing.rs
+++ b/crates/core/src/systems/membership/proposals.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns the next view if the current one has to change and this VM may write it.
-pub(super) fn proposal(tick: &mut Tick<'_>) -> Option<Proposal> {
+pub(super) fn propose(tick: &mut Tick<'_>) -> Option<Proposal> {
     let settings = tick.settings;
     if !has_change_trigger(tick) {
         tick.tables.membership.change_wanted_since_us = None;
--- a/crates/core/src/systems/membership/store.rs
+++ b/crates/core/src/systems/membership/store.rs
@@ -4,7 +4,7 @@
 //! it is still in force.
 
 use super::super::Tick;
-use super::{leases, views, writing};
+use super::{leases, proposals, views};
 use crate::input::{StoreEvent, StoredView};
 use crate::output::{Decision, Output, StoreRequest};
 use crate::tables::{
@@ -241,7 +241,7 @@
     if tick.tables.view.epoch.0 == 0 {
         return Some(bootstrap_request(tick));
     }
-    let write = writing::proposal(tick);
+    let write = proposals::propose(tick);
     let write = write.map(|proposal| match touches_first(tick) {
         true => (proposal.due_us, NextRequest::Touch),
         false => (proposal.due_us, NextRequest::Write(proposal.view)),
@@ -285,7 +285,7 @@
     } else {
         tick.settings.heartbeat_ms * 2_000
     };
-    let first = NextRequest::Write(writing::first_view(tick));
+    let first = NextRequest::Write(proposals::first_view(tick));
     (started_us + wait_us, first)
 }
 
--- a/crates/core/src/systems/membership/suspicion.rs
+++ b/crates/core/src/systems/membership/suspicion.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::super::{Sender, Tick};
-use super::peers;
+use super::topology;
 use crate::ids::{Incarnation, VmName};
 use crate::message::MembershipMessage;
 use crate::output::Decision;
@@ -112,7 +112,7 @@
         let cleared: Vec<VmName> = failed
             .iter()
             .filter(|vm| {
-                let watchers = peers::watchers_of(&tables.view, vm);
+                let watchers = topology::watchers_of(&tables.view, vm);
                 let mut live = watchers.iter().filter(is_live).peekable();
                 live.peek().is_none() || !live.all(|by| is_reported(tick, vm, by))
             })
--- a/crates/core/src/systems/membership/views.rs
+++ b/crates/core/src/systems/membership/views.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::super::{Sender, Tick};
-use super::{leases, peers};
+use super::{leases, topology};
 use crate::ids::{Epoch, VmName};
 use crate::message::MembershipMessage;
 use crate::output::Decision;
@@ -36,7 +36,7 @@
     store_past_view(tick, before, since_us);
     update_incarnations(tick);
     remove_applied_proposals(tick);
-    peers::choose_peers(tick);
+    topology::choose_peers(tick);
     leases::remove_stale_promises(tick);
     leases::update_expiry(tick);
     tick.decide(Decision::ViewChanged {
