--- a/crates/core/src/systems/admission/mod.rs
+++ b/crates/core/src/systems/admission/mod.rs
@@ -401,7 +401,7 @@
         ran,
         retry_after_ms,
     }));
-    tick.decide(Decision::Refused { call, kind, ran });
+    tick.log(Decision::Refused { call, kind, ran });
 }
 
 /// Refuses all open calls because the process stops.
--- a/crates/core/src/systems/budgets/mod.rs
+++ b/crates/core/src/systems/budgets/mod.rs
@@ -66,7 +66,7 @@
     let waiting = std::mem::take(&mut source.waiting);
     tick.work.budgets.calls.extend(waiting);
     tick.work.peers.announce = true;
-    tick.decide(Decision::ProgramsKnown { programs, losses });
+    tick.log(Decision::ProgramsKnown { programs, losses });
 }
 
 /// Restores a program from its record in the store after all VMs lost their state.
@@ -97,7 +97,7 @@
             if let Some(relay) = relay_mut(tick, id) {
                 relay.cover = Some(cover);
             }
-            tick.decide(Decision::TurnCovered {
+            tick.log(Decision::TurnCovered {
                 call: id,
                 program,
                 known_tokens,
@@ -202,7 +202,7 @@
     let waiting = std::mem::take(&mut row.waiting);
     row.reserved_tokens += tokens.unwrap_or_default();
     let reserved_tokens = row.reserved_tokens;
-    tick.decide(Decision::BudgetReserved {
+    tick.log(Decision::BudgetReserved {
         program: program.clone(),
         tokens,
         reserved_tokens,
@@ -230,7 +230,7 @@
     let row = tick.tables.budgets.get(program);
     let known_tokens = row.map_or(0, Budget::known_tokens);
     let budget_tokens = row.map_or(0, |row| row.budget_tokens);
-    tick.decide(Decision::TurnUncovered {
+    tick.log(Decision::TurnUncovered {
         call,
         program: program.clone(),
         known_tokens,
@@ -256,7 +256,7 @@
             }));
         }
         tick.work.peers.announce = true;
-        tick.decide(Decision::ProgramStopped {
+        tick.log(Decision::ProgramStopped {
             program: program.clone(),
             known_tokens,
             budget_tokens,
--- a/crates/core/src/systems/config/mod.rs
+++ b/crates/core/src/systems/config/mod.rs
@@ -86,7 +86,7 @@
     let in_force = tick.tables.fleet.revision;
     if fleet.revision <= in_force {
         if fleet.revision < in_force {
-            tick.decide(Decision::ConfigIgnored {
+            tick.log(Decision::ConfigIgnored {
                 offered: fleet.revision,
                 in_force,
             });
@@ -104,7 +104,7 @@
     } else {
         replace_services(tick, &fleet.services);
     }
-    tick.decide(Decision::ConfigInForce {
+    tick.log(Decision::ConfigInForce {
         revision: fleet.revision,
     });
     let tables = &mut *tick.tables;
--- a/crates/core/src/systems/config/upstream_list.rs
+++ b/crates/core/src/systems/config/upstream_list.rs
@@ -70,7 +70,7 @@
     let upstreams = &tick.tables.source.upstreams.upstreams;
     let leaving = upstreams.iter().filter(|row| row.config.leaving).count();
     let upstreams = upstreams.len();
-    tick.decide(Decision::ListInForce {
+    tick.log(Decision::ListInForce {
         revision: stamp.revision,
         upstreams,
         leaving,
--- a/crates/core/src/systems/homes/home.rs
+++ b/crates/core/src/systems/homes/home.rs
@@ -88,7 +88,7 @@
     ran: Execution,
     retry_after_ms: Option<u64>,
 ) {
-    tick.decide(Decision::TurnDenied {
+    tick.log(Decision::TurnDenied {
         program: begin.program.clone(),
         turn: begin.turn,
         call: begin.call,
@@ -131,7 +131,7 @@
     }
     tree::renew_lease(tick, key);
     schedule_probe(tick, key.clone(), begin.call);
-    tick.decide(Decision::TurnBegan {
+    tick.log(Decision::TurnBegan {
         program: key.clone(),
         turn: begin.turn,
         call: begin.call,
@@ -405,7 +405,7 @@
     if takeover::is_member(tick, &turn.vm, turn.call.incarnation) {
         return;
     }
-    tick.decide(Decision::TurnUnknown {
+    tick.log(Decision::TurnUnknown {
         program: key.clone(),
         turn: turn.number,
         vm: turn.vm,
--- a/crates/core/src/systems/homes/lifecycle.rs
+++ b/crates/core/src/systems/homes/lifecycle.rs
@@ -63,7 +63,7 @@
             _ => Phase::Ended,
         };
         let generation = program.generation;
-        tick.decide(Decision::ProgramOver {
+        tick.log(Decision::ProgramOver {
             program: key.clone(),
             generation,
             reason,
--- a/crates/core/src/systems/homes/recovery.rs
+++ b/crates/core/src/systems/homes/recovery.rs
@@ -78,7 +78,7 @@
     row.last = None;
     row.unknown = None;
     raise_usage(tick, key, state, gained_turns);
-    tick.decide(Decision::ProgramTakenOver {
+    tick.log(Decision::ProgramTakenOver {
         program: key.clone(),
         turn: state.turn,
         source,
--- a/crates/core/src/systems/homes/release.rs
+++ b/crates/core/src/systems/homes/release.rs
@@ -65,7 +65,7 @@
     program: ProgramKey,
     generation: u64,
 ) {
-    tick.decide(Decision::MemoryReleased {
+    tick.log(Decision::MemoryReleased {
         program: program.clone(),
         generation,
         upstream: upstream.clone(),
--- a/crates/core/src/systems/homes/takeover.rs
+++ b/crates/core/src/systems/homes/takeover.rs
@@ -402,7 +402,7 @@
     }
     release::record_upstreams(tick, &key, &known_upstreams);
     let turn = tick.tables.programs.get(&key).map_or(0, |row| row.turn);
-    tick.decide(Decision::ProgramTakenOver {
+    tick.log(Decision::ProgramTakenOver {
         program: key.clone(),
         turn,
         source: TakeoverSource::HandOver,
--- a/crates/core/src/systems/intake/mod.rs
+++ b/crates/core/src/systems/intake/mod.rs
@@ -34,7 +34,7 @@
         .get_or_insert_with(from, || Vm::new(incarnation, now_us));
     let known = member.map_or(row.incarnation, |m| m.incarnation.max(row.incarnation));
     if incarnation < known {
-        tick.decide(Decision::FormerStart { vm: from.clone() });
+        tick.log(Decision::FormerStart { vm: from.clone() });
         return true;
     }
     if row.incarnation < incarnation {
--- a/crates/core/src/systems/membership/leases.rs
+++ b/crates/core/src/systems/membership/leases.rs
@@ -103,7 +103,7 @@
     let is_first = membership.promised_until_us < tick.now_us;
     membership.promised_until_us = tick.now_us + kept_us;
     if is_first {
-        tick.decide(Decision::PromiseMade);
+        tick.log(Decision::PromiseMade);
     }
     true
 }
--- a/crates/core/src/systems/membership/leaving.rs
+++ b/crates/core/src/systems/membership/leaving.rs
@@ -75,7 +75,7 @@
     for vm in members {
         tick.send(&vm, MembershipMessage::Left { epoch });
     }
-    tick.decide(Decision::Left { epoch });
+    tick.log(Decision::Left { epoch });
 }
 
 /// Records that a removed member has stopped.
--- a/crates/core/src/systems/membership/store.rs
+++ b/crates/core/src/systems/membership/store.rs
@@ -52,7 +52,7 @@
     store.not_before_us = 0;
     store.answered_us = Some(tick.now_us);
     if was_down {
-        tick.decide(Decision::StoreAnswers);
+        tick.log(Decision::StoreAnswers);
     }
 }
 
@@ -75,7 +75,7 @@
         let is_behind = stored.view != tick.tables.view;
         tick.tables.membership.store.is_behind = is_behind;
         if is_behind {
-            tick.decide(Decision::ViewIgnored {
+            tick.log(Decision::ViewIgnored {
                 offered: stored.view.epoch,
                 in_force: known,
             });
@@ -173,7 +173,7 @@
     }
     // A single lost answer is not logged.
     if failures == 2 {
-        tick.decide(Decision::StoreSilent);
+        tick.log(Decision::StoreSilent);
     }
 }
 
--- a/crates/core/src/systems/membership/suspicion.rs
+++ b/crates/core/src/systems/membership/suspicion.rs
@@ -87,7 +87,7 @@
     row.reports.insert(sender.vm.clone(), now_us);
     if is_first {
         let by = sender.vm.clone();
-        tick.decide(Decision::Suspected { vm, by });
+        tick.log(Decision::Suspected { vm, by });
     }
 }
 
--- a/crates/core/src/systems/membership/views.rs
+++ b/crates/core/src/systems/membership/views.rs
@@ -39,7 +39,7 @@
     topology::choose_peers(tick);
     leases::remove_stale_promises(tick);
     leases::update_expiry(tick);
-    tick.decide(Decision::ViewChanged {
+    tick.log(Decision::ViewChanged {
         epoch: view.epoch,
         members: view.members.len(),
     });
--- a/crates/core/src/systems/mod.rs
+++ b/crates/core/src/systems/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// Outputs a decision for the log.
-    pub fn decide(&mut self, decision: Decision) {
+    pub fn log(&mut self, decision: Decision) {
         self.outputs.push(Output::Decision(decision));
     }
 }
--- a/crates/core/src/systems/orders/planning.rs
+++ b/crates/core/src/systems/orders/planning.rs
@@ -149,7 +149,7 @@
         action: action.clone(),
     };
     tick.outputs.push(Output::Order(Box::new(order)));
-    tick.decide(Decision::Ordered {
+    tick.log(Decision::Ordered {
         upstream: upstream.clone(),
         token,
         action,
--- a/crates/core/src/systems/orders/results.rs
+++ b/crates/core/src/systems/orders/results.rs
@@ -59,7 +59,7 @@
         OrderResult::Unknown => {}
         OrderResult::Stale => {
             orders.open.remove(upstream);
-            tick.decide(Decision::OrderStale {
+            tick.log(Decision::OrderStale {
                 upstream: upstream.clone(),
                 token,
             });
--- a/crates/core/src/systems/outcomes/ejection.rs
+++ b/crates/core/src/systems/outcomes/ejection.rs
@@ -16,7 +16,7 @@
     }
     let failures = row.health.failures;
     if !may_eject(tick, upstream) {
-        tick.decide(Decision::NotEjected {
+        tick.log(Decision::NotEjected {
             upstream: upstream.clone(),
             failures,
         });
@@ -83,7 +83,7 @@
     let timer = Timer::UpstreamReady(upstream.clone());
     tick.tables.timers.set(tick.now_us + ejection_us, timer);
     placement::refresh_availability(tick, upstream);
-    tick.decide(Decision::Ejected {
+    tick.log(Decision::Ejected {
         upstream: upstream.clone(),
         for_ms: ejection_us / 1_000,
         failures,
--- a/crates/core/src/systems/outcomes/quarantine.rs
+++ b/crates/core/src/systems/outcomes/quarantine.rs
@@ -14,7 +14,7 @@
         .suspects
         .get(&digest)
         .map_or(0, |row| row.crashes);
-    tick.decide(Decision::Quarantined {
+    tick.log(Decision::Quarantined {
         digest,
         for_ms,
         crashes,
--- a/crates/core/src/systems/outcomes/retries.rs
+++ b/crates/core/src/systems/outcomes/retries.rs
@@ -64,7 +64,7 @@
     });
     match verdict {
         Ok(reason) => {
-            tick.decide(Decision::Retry {
+            tick.log(Decision::Retry {
                 call: attempt.call,
                 upstream: upstream.clone(),
                 reason,
@@ -77,7 +77,7 @@
             admission::enter_stage(tick, attempt.call, Stage::Place);
         }
         Err(reason) => {
-            tick.decide(Decision::NoRetry {
+            tick.log(Decision::NoRetry {
                 call: attempt.call,
                 upstream,
                 reason,
--- a/crates/core/src/systems/outcomes/suspects.rs
+++ b/crates/core/src/systems/outcomes/suspects.rs
@@ -77,7 +77,7 @@
     if lost.is_empty() {
         return;
     }
-    tick.decide(Decision::ConnectionBroke {
+    tick.log(Decision::ConnectionBroke {
         upstream: upstream.clone(),
         evidence: CrashEvidence::Answering,
     });
@@ -112,7 +112,7 @@
         .find(|lost| lost.is_exclusive)
         .map(|lost| lost.digest);
     let digests: BTreeSet<ContentDigest> = suspects.iter().map(|(.., digest)| *digest).collect();
-    tick.decide(Decision::Crashed {
+    tick.log(Decision::Crashed {
         upstream: upstream.clone(),
         suspects: digests.len(),
         evidence,
--- a/crates/core/src/systems/peers/group.rs
+++ b/crates/core/src/systems/peers/group.rs
@@ -30,7 +30,7 @@
     }
     for vm in forgotten {
         tick.tables.peering.peers.remove(&vm);
-        tick.decide(Decision::PeerForgotten { vm });
+        tick.log(Decision::PeerForgotten { vm });
     }
     update_counts(tick);
 }
@@ -43,7 +43,7 @@
     };
     peer.is_reachable = false;
     let silent_ms = now_us.saturating_sub(peer.last_contact_us()) / 1_000;
-    tick.decide(Decision::PeerSilent {
+    tick.log(Decision::PeerSilent {
         vm: vm.clone(),
         silent_ms,
     });
@@ -91,7 +91,7 @@
     if peering.usable_fraction() != before {
         rates::rescale_buckets(tick);
         let (heard_vms, known_vms) = tick.tables.peering.usable_fraction();
-        tick.decide(Decision::GroupChanged {
+        tick.log(Decision::GroupChanged {
             heard_vms,
             known_vms,
         });
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -98,7 +98,7 @@
     }
     let was_heard = std::mem::replace(&mut peer.is_reachable, true);
     if !was_heard || is_restarted {
-        tick.decide(Decision::PeerHeard {
+        tick.log(Decision::PeerHeard {
             vm: summary.from.clone(),
             incarnation: summary.incarnation,
         });
--- a/crates/core/src/systems/placement/entry.rs
+++ b/crates/core/src/systems/placement/entry.rs
@@ -329,7 +329,7 @@
         runners_up,
     };
     tick.outputs.push(Output::Dispatch(dispatch));
-    tick.decide(decision);
+    tick.log(decision);
 }
 
 /// How long an upstream may send nothing before it is considered silent.
--- a/crates/core/src/systems/placement/limits.rs
+++ b/crates/core/src/systems/placement/limits.rs
@@ -77,7 +77,7 @@
         .get(upstream)
         .map(|row| row.limit.calls);
     if let (Some(reason), Some(to_calls)) = (reason, to_calls) {
-        tick.decide(Decision::LimitChanged {
+        tick.log(Decision::LimitChanged {
             upstream: upstream.clone(),
             from_calls,
             to_calls,
--- a/crates/core/src/systems/rates/calls.rs
+++ b/crates/core/src/systems/rates/calls.rs
@@ -142,7 +142,7 @@
 fn admit(tick: &mut Tick<'_>, id: CallId, account: &AccountName) {
     let arrived_us = tick.tables.calls.get(&id).map_or(0, |call| call.arrived_us);
     tick.tables.peering.count_admitted(account);
-    tick.decide(Decision::Admitted {
+    tick.log(Decision::Admitted {
         call: id,
         account: account.clone(),
         waited_us: tick.now_us.saturating_sub(arrived_us),
@@ -198,7 +198,7 @@
     let mut bucket = share.bucket;
     bucket.refill(now_us);
     let debt_ncalls = share.replicated.map_or(0, |pooled| pooled.debt_ncalls);
-    tick.decide(Decision::NoRoom {
+    tick.log(Decision::NoRoom {
         call,
         account: account.clone(),
         level_mcalls: bucket.level_ncalls / NCALLS_PER_MCALL,
--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -136,7 +136,7 @@
         reading.retry_us = 0;
     }
     if std::mem::take(&mut tick.tables.source.is_unreachable) {
-        tick.decide(Decision::SourceBack);
+        tick.log(Decision::SourceBack);
     }
 }
 
@@ -151,7 +151,7 @@
     }
     if !std::mem::replace(&mut tick.tables.source.is_unreachable, true) {
         let age_us = tick.tables.source.config.age_us(now_us);
-        tick.decide(Decision::SourceLost {
+        tick.log(Decision::SourceLost {
             config_age_ms: age_us.map(|age_us| age_us / 1_000),
         });
     }
