--- a/crates/core/src/tables/budget.rs
+++ b/crates/core/src/tables/budget.rs
@@ -53,7 +53,7 @@
     pub running_tokens: u64,
     /// Tokens reserved by this VM that no turn uses yet.
     pub reserved_tokens: u64,
-    /// Losses of the memory of all VMs after which earlier turns of the program may be unknown.
+    /// Times that all VMs lost their memory and perhaps earlier turns of the program with it.
     pub losses: u32,
     /// Whether the program has a record in the store.
     pub has_record: bool,
@@ -139,7 +139,7 @@
         BudgetDecision::Covered(Coverage::Reserved)
     }
 
-    /// Returns the unused tokens of a turn that ended on this VM.
+    /// Releases the tokens of a turn that ended on this VM: all free ones, or the unused reserved ones.
     pub fn settle_turn(&mut self, cover: Coverage, turn_tokens: u64, used_tokens: u64) {
         match cover {
             Coverage::Free => self.running_tokens = self.running_tokens.saturating_sub(turn_tokens),
--- a/crates/core/src/tables/call.rs
+++ b/crates/core/src/tables/call.rs
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Returns whether a budget outside the homes has to cover the call.
+    /// Returns whether the call is a turn with a token budget but without a home.
     pub fn has_budget(&self) -> bool {
         let relay = self.relay.as_ref();
         relay.is_some_and(|relay| relay.budget_tokens.is_some() && relay.program.is_some())
--- a/crates/core/src/tables/health.rs
+++ b/crates/core/src/tables/health.rs
@@ -5,19 +5,19 @@
 use crate::ids::{CallId, ContentDigest, VmName};
 
 /// Consecutive failures after which an upstream is ejected.
-const EJECT_FAILURES: u32 = 5;
+const EJECTION_FAILURES: u32 = 5;
 
 /// Duration of the first ejection.
-const EJECT_US: u64 = 5_000_000;
+const BASE_EJECTION_US: u64 = 5_000_000;
 
 /// Duration of the longest ejection.
-const MAX_EJECT_US: u64 = 300_000_000;
+const MAX_EJECTION_US: u64 = 300_000_000;
 
-/// Consecutive successes after which the duration of ejections starts at `EJECT_US` again.
+/// Consecutive successes after which the duration of ejections starts at `BASE_EJECTION_US` again.
 const EJECTION_RESET_SUCCESSES: u32 = 10;
 
 /// Shortest backoff after a crash or a refused connection.
-const BACKOFF_US: u64 = 1_000_000;
+const MIN_BACKOFF_US: u64 = 1_000_000;
 
 /// Time for which a crash counts as recent; longer than any call lasts.
 const CRASH_RETENTION_US: u64 = 10_000_000;
@@ -55,7 +55,7 @@
     pub vm: VmName,
     /// Digest of the content that was running.
     pub digest: ContentDigest,
-    /// Whether it was the only call on the upstream.
+    /// Whether it ran as the only call on the upstream.
     pub is_exclusive: bool,
 }
 
@@ -91,23 +91,23 @@
     pub fn record_failure(&mut self) -> bool {
         self.failures += 1;
         self.successes = 0;
-        self.failures >= EJECT_FAILURES
+        self.failures >= EJECTION_FAILURES
     }
 
     /// Ejects the upstream and returns the duration, which doubles with each ejection.
     ///
     /// A single failure after the ejection causes the next one.
     pub fn eject(&mut self, now_us: u64) -> u64 {
-        let time_us = (EJECT_US << self.ejections.min(16)).min(MAX_EJECT_US);
+        let ejection_us = (BASE_EJECTION_US << self.ejections.min(16)).min(MAX_EJECTION_US);
         self.ejections += 1;
-        self.failures = EJECT_FAILURES - 1;
-        self.ejected_until_us = now_us + time_us;
-        time_us
+        self.failures = EJECTION_FAILURES - 1;
+        self.ejected_until_us = now_us + ejection_us;
+        ejection_us
     }
 
     /// Starts a backoff, longer after consecutive failures, and returns its end.
     pub fn back_off(&mut self, now_us: u64) -> u64 {
-        let backoff_us = BACKOFF_US << self.failures.min(2);
+        let backoff_us = MIN_BACKOFF_US << self.failures.min(2);
         self.backoff_until_us = self.backoff_until_us.max(now_us + backoff_us);
         self.last_crash_us = now_us;
         self.backoff_until_us
--- a/crates/core/src/tables/homes.rs
+++ b/crates/core/src/tables/homes.rs
@@ -87,7 +87,7 @@
 pub struct Release {
     /// Upstream that holds the memory.
     pub upstream: UpstreamName,
-    /// Program that the memory or request belongs to.
+    /// Program whose memory is released.
     pub program: ProgramKey,
     /// Generation of the program whose memory is released.
     pub generation: u64,
@@ -116,7 +116,7 @@
 /// A request of a caller about a program that the home has not answered.
 #[derive(Debug, Clone)]
 pub struct PendingProgramRequest {
-    /// Program that the memory or request belongs to.
+    /// Program that the request is about.
     pub program: ProgramKey,
     /// Message to send until it is answered.
     pub message: HomesMessage,
--- a/crates/core/src/tables/loan.rs
+++ b/crates/core/src/tables/loan.rs
@@ -320,9 +320,9 @@
 
     /// Adds a loan to the totals and sorted sets.
     fn add_to_totals(&mut self, holder: &Holder, loan: &Loan) {
-        let counted = loan.upper_bound();
-        self.lent.rate_mcalls_per_s += counted.rate_mcalls_per_s;
-        self.lent.burst_ncalls += counted.burst_ncalls;
+        let upper_bound = loan.upper_bound();
+        self.lent.rate_mcalls_per_s += upper_bound.rate_mcalls_per_s;
+        self.lent.burst_ncalls += upper_bound.burst_ncalls;
         self.weight += loan.weight;
         self.by_service_level
             .insert((loan.service_level(), holder.clone()));
@@ -332,9 +332,9 @@
 
     /// Removes a loan from the totals and sorted sets.
     fn subtract_from_totals(&mut self, holder: &Holder, loan: &Loan) {
-        let counted = loan.upper_bound();
-        self.lent.rate_mcalls_per_s -= counted.rate_mcalls_per_s;
-        self.lent.burst_ncalls -= counted.burst_ncalls;
+        let upper_bound = loan.upper_bound();
+        self.lent.rate_mcalls_per_s -= upper_bound.rate_mcalls_per_s;
+        self.lent.burst_ncalls -= upper_bound.burst_ncalls;
         self.weight -= loan.weight;
         self.by_service_level
             .remove(&(loan.service_level(), holder.clone()));
--- a/crates/core/src/tables/order.rs
+++ b/crates/core/src/tables/order.rs
@@ -9,7 +9,7 @@
 pub struct ServiceOrders {
     /// Number of the last order.
     pub seq: u64,
-    /// Budget of model loads that keeps the weight store from being overloaded.
+    /// Token bucket of model loads, which limits the load on the weight store.
     pub loads: Bucket,
     /// Orders without an answer, by engine.
     pub open: Table<UpstreamName, PendingOrder>,
--- a/crates/core/src/tables/source.rs
+++ b/crates/core/src/tables/source.rs
@@ -83,7 +83,7 @@
     pub list_resumed_us: Option<u64>,
     /// The list of upstreams in force.
     pub upstreams: Arc<UpstreamList>,
-    /// Identifies this list among others.
+    /// Identifies the version of `upstreams`.
     pub stamp: ListStamp,
     /// Knowledge of programs that ran before this VM started.
     pub knowledge: ProgramKnowledge,
--- a/crates/core/src/tables/upstream.rs
+++ b/crates/core/src/tables/upstream.rs
@@ -34,8 +34,8 @@
     pub attempts: BTreeSet<AttemptId>,
     /// Calls in the last load report that this VM did not place.
     pub foreign_calls: u32,
-    /// Highest number of concurrent attempts since the last and since the second to last load
-    /// report. Reports lag, so they may still include attempts that have ended.
+    /// Highest number of concurrent attempts since the last load report and between the last two.
+    /// Reports lag, so they may still include attempts that have ended.
     pub peak_calls: [u32; 2],
     /// Calls of this VM that run on it.
     pub own_calls: u32,
