--- a/crates/core/src/systems/rates/holder.rs
+++ b/crates/core/src/systems/rates/holder.rs
@@ -33,7 +33,7 @@
 pub(super) fn apply_limits(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
     let tables = &mut *tick.tables;
-    let Some(limits) = tables.accounts.get(account).map(|row| row.limits()) else {
+    let Some(limits) = tables.accounts.get(account).map(|row| row.rate_limit()) else {
         return;
     };
     let share = tables.shares.get_or_insert_with(account, Share::default);
@@ -247,7 +247,10 @@
 /// Applies the burst of a grant; returns how many calls go back as excess or recalled.
 fn apply_burst(tick: &mut Tick<'_>, grant: &Grant, before_burst_ncalls: u64) -> u64 {
     let tables = &mut *tick.tables;
-    let limits = tables.accounts.get(&grant.account).map(|row| row.limits());
+    let limits = tables
+        .accounts
+        .get(&grant.account)
+        .map(|row| row.rate_limit());
     let (Some(limits), Some(share)) = (limits, tables.shares.get_mut(&grant.account)) else {
         return 0;
     };
--- a/crates/core/src/systems/rates/owner.rs
+++ b/crates/core/src/systems/rates/owner.rs
@@ -457,7 +457,7 @@
     }
     let may_act = may_act(tick, epoch);
     let tables = &mut *tick.tables;
-    let limits = tables.accounts.get(account).map(|row| row.limits());
+    let limits = tables.accounts.get(account).map(|row| row.rate_limit());
     let (Some(limits), Some(row)) = (limits, tables.owned_accounts.get_mut(account)) else {
         return;
     };
--- a/crates/core/src/systems/rates/pooled.rs
+++ b/crates/core/src/systems/rates/pooled.rs
@@ -29,7 +29,12 @@
 /// Applies an account's published limits to this VM's copy of its bucket.
 pub(super) fn apply_limits(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
-    let Some(limits) = tick.tables.accounts.get(account).map(|row| row.limits()) else {
+    let Some(limits) = tick
+        .tables
+        .accounts
+        .get(account)
+        .map(|row| row.rate_limit())
+    else {
         return;
     };
     let (heard, known) = tick.tables.peering.usable_fraction();
--- a/crates/core/src/systems/rates/takeover.rs
+++ b/crates/core/src/systems/rates/takeover.rs
@@ -103,7 +103,7 @@
         return true;
     }
     let tables = &*tick.tables;
-    let limits = tables.accounts.get(account).map(|row| row.limits());
+    let limits = tables.accounts.get(account).map(|row| row.rate_limit());
     let Some(limits) = limits.filter(|_| is_owner(tick, account)) else {
         return false;
     };
@@ -270,7 +270,7 @@
 /// Raises the limits that may be lent during a takeover by what became known to be free or adopted.
 fn add_known_limits(tick: &mut Tick<'_>, account: &AccountName, limits: RateLimit) {
     let tables = &mut *tick.tables;
-    let published = tables.accounts.get(account).map(|row| row.limits());
+    let published = tables.accounts.get(account).map(|row| row.rate_limit());
     let (Some(published), Some(row)) = (published, tables.owned_accounts.get_mut(account)) else {
         return;
     };
@@ -298,7 +298,7 @@
         return;
     }
     let tables = &mut *tick.tables;
-    let limits = tables.accounts.get(account).map(|row| row.limits());
+    let limits = tables.accounts.get(account).map(|row| row.rate_limit());
     if let (Some(limits), Some(row)) = (limits, tables.owned_accounts.get_mut(account)) {
         row.takeover = None;
         row.set_limits(limits, now_us);
--- a/crates/core/src/tables/account.rs
+++ b/crates/core/src/tables/account.rs
@@ -13,7 +13,7 @@
 
 impl Account {
     /// Returns the rate limit of the account over all VMs together.
-    pub fn limits(&self) -> RateLimit {
+    pub fn rate_limit(&self) -> RateLimit {
         RateLimit {
             rate_mcalls_per_s: self.config.rate_mcalls_per_s,
             burst_ncalls: self.config.burst_calls * NCALLS_PER_CALL,
--- a/crates/core/src/tables/budget.rs
+++ b/crates/core/src/tables/budget.rs
@@ -139,7 +139,7 @@
         BudgetDecision::Covered(Coverage::Reserved)
     }
 
-    /// Releases the tokens of a turn that ended on this VM: all free ones, or the unused reserved ones.
+    /// Releases the tokens of a turn that ended on this VM; of reserved ones, only the unused part.
     pub fn settle_turn(&mut self, cover: Coverage, turn_tokens: u64, used_tokens: u64) {
         match cover {
             Coverage::Free => self.running_tokens = self.running_tokens.saturating_sub(turn_tokens),
