--- a/crates/core/src/systems/config/mod.rs
+++ b/crates/core/src/systems/config/mod.rs
@@ -53,18 +53,18 @@
 /// An unanswered request is repeated to the next VM that reports the revision.
 fn request_newer(tick: &mut Tick<'_>, vm: &VmName, revision: Revision) {
     let now_us = tick.now_us;
-    let again_us = tick.settings.heartbeat_ms * 1_000 / 2;
+    let retry_us = tick.settings.heartbeat_ms * 1_000 / 2;
     let tables = &mut *tick.tables;
     tables.newest_revision = tables.newest_revision.max(revision);
     let in_force = tables.fleet.revision;
     if revision <= in_force {
         return;
     }
-    let asked = &mut tables.config_requested;
-    if asked.is_some_and(|(asked, at_us)| asked >= revision && now_us < at_us + again_us) {
+    let requested = &mut tables.config_requested;
+    if requested.is_some_and(|(last, at_us)| last >= revision && now_us < at_us + retry_us) {
         return;
     }
-    *asked = Some((revision, now_us));
+    *requested = Some((revision, now_us));
     tick.send(vm, ConfigMessage::ConfigRequest { in_force });
 }
 
--- a/crates/core/src/systems/config/upstream_list.rs
+++ b/crates/core/src/systems/config/upstream_list.rs
@@ -35,9 +35,9 @@
 
 /// Returns whether entries may be missing because of a recent store outage.
 fn may_have_expired(tick: &Tick<'_>) -> bool {
-    let relist_us = tick.settings.list_grace_ms * 1_000;
-    let returned_us = tick.tables.source.list_resumed_us;
-    returned_us.is_some_and(|returned_us| tick.now_us < returned_us + relist_us)
+    let grace_us = tick.settings.list_grace_ms * 1_000;
+    let resumed_us = tick.tables.source.list_resumed_us;
+    resumed_us.is_some_and(|resumed_us| tick.now_us < resumed_us + grace_us)
 }
 
 /// Applies a list received from another VM; `read_us` is when it was read from the store.
@@ -54,13 +54,13 @@
 /// Puts a list in force and announces it to the other VMs if its upstreams changed.
 fn apply_list(tick: &mut Tick<'_>, list: Arc<UpstreamList>) {
     let digest = digest(&list.upstreams);
-    let before = tick.tables.source.stamp;
+    let previous = tick.tables.source.stamp;
     let stamp = ListStamp {
         revision: list.revision,
         digest,
     };
     tick.tables.source.stamp = stamp;
-    if before.digest == digest {
+    if previous.digest == digest {
         return;
     }
     tick.tables.source.upstreams = list;
--- a/crates/core/src/systems/membership/joining.rs
+++ b/crates/core/src/systems/membership/joining.rs
@@ -61,16 +61,16 @@
         views::handle_request(tick, &sender.vm, Epoch::default());
         return;
     }
-    let joins = &mut tick.tables.membership.join_requests;
-    joins.insert(member.vm.clone(), (member, tick.now_us));
+    let requests = &mut tick.tables.membership.join_requests;
+    requests.insert(member.vm.clone(), (member, tick.now_us));
 }
 
 /// Returns the VMs whose join requests have not expired.
 pub(super) fn pending_joins(tick: &Tick<'_>) -> Vec<Member> {
     let oldest_us = tick.now_us.saturating_sub(JOIN_RETENTION_US);
-    let joins = tick.tables.membership.join_requests.values();
-    joins
-        .filter(|(_, at_us)| *at_us >= oldest_us)
+    let requests = tick.tables.membership.join_requests.values();
+    requests
+        .filter(|(_, received_us)| *received_us >= oldest_us)
         .map(|(member, _)| member.clone())
         .collect()
 }
--- a/crates/core/src/systems/membership/leases.rs
+++ b/crates/core/src/systems/membership/leases.rs
@@ -7,10 +7,10 @@
 use crate::tables::StoreRequestKind;
 
 /// Records that the view, or an older one, was in force at a time, and renews the lease.
-pub(super) fn confirm(tick: &mut Tick<'_>, moment_us: u64) {
+pub(super) fn confirm(tick: &mut Tick<'_>, time_us: u64) {
     let lease = &mut tick.tables.lease;
-    if lease.confirmed_us.is_none_or(|known| known < moment_us) {
-        lease.confirmed_us = Some(moment_us);
+    if lease.confirmed_us.is_none_or(|known| known < time_us) {
+        lease.confirmed_us = Some(time_us);
     }
     update_expiry(tick);
 }
@@ -79,8 +79,8 @@
 fn should_follow_promise(tick: &Tick<'_>) -> bool {
     let updated_us = tick.tables.membership.store.updated_us;
     let limit_us = tick.settings.touch_ms * 1_500;
-    let is_updated = |at_us: u64| tick.now_us.saturating_sub(at_us) < limit_us;
-    !updated_us.is_some_and(is_updated) && has_recent_promise(tick)
+    let is_recent_update = |at_us: u64| tick.now_us.saturating_sub(at_us) < limit_us;
+    !updated_us.is_some_and(is_recent_update) && has_recent_promise(tick)
 }
 
 /// Returns whether the other writer recently promised to write no view.
@@ -98,10 +98,10 @@
     if !should_promise(tick) {
         return false;
     }
-    let kept_us = CoreSettings::with_clock_margin_us(tick.settings.lease_ms);
+    let duration_us = CoreSettings::with_clock_margin_us(tick.settings.lease_ms);
     let membership = &mut tick.tables.membership;
     let is_first = membership.promised_until_us < tick.now_us;
-    membership.promised_until_us = tick.now_us + kept_us;
+    membership.promised_until_us = tick.now_us + duration_us;
     if is_first {
         tick.log(Decision::PromiseMade);
     }
--- a/crates/core/src/systems/membership/leaving.rs
+++ b/crates/core/src/systems/membership/leaving.rs
@@ -64,8 +64,8 @@
         return;
     };
     let is_handed_over = departure.open_hand_overs == 0 && tick.now_us > removed_us;
-    let is_given_up = tick.now_us > removed_us + wait_us;
-    if departure.has_left || !(is_handed_over || is_given_up) {
+    let has_timed_out = tick.now_us > removed_us + wait_us;
+    if departure.has_left || !(is_handed_over || has_timed_out) {
         return;
     }
     departure.has_left = true;
--- a/crates/core/src/systems/membership/platform.rs
+++ b/crates/core/src/systems/membership/platform.rs
@@ -40,13 +40,14 @@
 /// from every member and needs no report.
 pub(super) fn missing_members(tick: &Tick<'_>) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
-    let hears_all = !tables.membership.peers.is_tree;
+    let is_mesh = !tables.membership.peers.is_tree;
     let is_silent = |vm: &VmName| {
         let has_report = tables.membership.suspicions.contains_key(vm);
-        has_report || (hears_all && !is_alive(tick, vm))
+        has_report || (is_mesh && !is_alive(tick, vm))
     };
-    let gone = tables.membership.platform.delisted.iter();
-    gone.filter(|vm| tables.view.member(vm).is_some())
+    let delisted = tables.membership.platform.delisted.iter();
+    delisted
+        .filter(|vm| tables.view.member(vm).is_some())
         .filter(|vm| **vm != tick.settings.vm && is_silent(vm))
         .cloned()
         .collect()
@@ -69,10 +70,10 @@
     let age_us = tables.lease.age_us(tick.now_us);
     let is_confirmed = age_us.is_some_and(|age_us| age_us <= settings.lease_ms * 1_000);
     let writers = &tables.view.writers;
-    let all_gone =
+    let all_ended =
         !is_confirmed && !writers.is_empty() && writers.iter().all(|vm| has_ended(tick, vm));
     let since_us = &mut tick.tables.membership.writers_missing_since_us;
-    if !all_gone {
+    if !all_ended {
         *since_us = None;
     } else if since_us.is_none() {
         *since_us = Some(tick.now_us);
@@ -122,8 +123,8 @@
         .view
         .member_with_incarnation(&settings.vm, settings.incarnation)
         .is_some();
-    let outside_us = if is_member { 0 } else { NON_MEMBER_DELAY_US };
-    let spread_us = hash_name(settings.vm.as_str(), JITTER_HASH_SEED) % JITTER_US;
+    let non_member_us = if is_member { 0 } else { NON_MEMBER_DELAY_US };
+    let jitter_us = hash_name(settings.vm.as_str(), JITTER_HASH_SEED) % JITTER_US;
     let wait_us = CoreSettings::with_clock_margin_us(settings.lease_ms);
-    Some(since_us + wait_us + outside_us + spread_us)
+    Some(since_us + wait_us + non_member_us + jitter_us)
 }
--- a/crates/core/src/systems/membership/proposals.rs
+++ b/crates/core/src/systems/membership/proposals.rs
@@ -143,18 +143,18 @@
 /// different failure domains.
 ///
 /// Members that the platform is about to remove are chosen last.
-fn choose_writers(view: &mut View, before: &View) {
+fn choose_writers(view: &mut View, current: &View) {
     let members = &view.members;
-    let stays = |vm: &VmName| {
-        let incarnation = before.member(vm).map(|member| member.incarnation);
+    let remains = |vm: &VmName| {
+        let incarnation = current.member(vm).map(|member| member.incarnation);
         incarnation.is_some_and(|incarnation| {
             members.iter().any(|member| {
                 member.vm == *vm && member.incarnation == incarnation && !member.leaving
             })
         })
     };
-    let mut writers = before.writers.clone();
-    writers.retain(|vm| stays(vm));
+    let mut writers = current.writers.clone();
+    writers.retain(|vm| remains(vm));
     while writers.len() < WRITER_COUNT.min(members.len()) {
         let domain = writers.first().and_then(|vm| {
             let writer = members.iter().find(|member| member.vm == *vm);
@@ -164,10 +164,10 @@
             .iter()
             .filter(|member| !writers.contains(&member.vm))
             .max_by_key(|member| {
-                let is_apart = Some(&member.failure_domain) != domain;
+                let is_other_domain = Some(&member.failure_domain) != domain;
                 (
                     !member.leaving,
-                    is_apart,
+                    is_other_domain,
                     hash_name(member.vm.as_str(), WRITER_HASH_SEED),
                 )
             });
@@ -184,18 +184,18 @@
     let (settings, tables) = (tick.settings, &*tick.tables);
     let first = tables.view.writers.first();
     let is_first = first == Some(&settings.vm);
-    let first_fails = first.is_some_and(|vm| removed.contains(vm));
+    let is_first_removed = first.is_some_and(|vm| removed.contains(vm));
     let leaving = &tables.membership.leaving;
     let lost = removed
         .iter()
         .filter(|vm| !leaving.contains_key(*vm))
         .count();
     if lost * 2 >= tables.view.members.len() {
-        // With half of the members lost, this VM may be the one that is cut off, so
+        // With half of the members lost, this VM may itself be the isolated one, so
         // the other side gets the time to write first.
         return (settings.lease_ms + settings.suspect_ms) * 1_000;
     }
-    if !is_first && !first_fails {
+    if !is_first && !is_first_removed {
         // The first writer normally writes the view; this delay covers the case that it cannot.
         return settings.touch_ms * 2_000;
     }
--- a/crates/core/src/systems/membership/store.rs
+++ b/crates/core/src/systems/membership/store.rs
@@ -101,17 +101,17 @@
     }
 }
 
-/// Backs off the reads of a VM that is cut off from the others.
+/// Backs off the reads of an isolated VM.
 fn back_off_isolated(tick: &mut Tick<'_>) {
     if !is_isolated(tick) {
         tick.tables.membership.store.isolated_reads = 0;
         return;
     }
     let reads = tick.tables.membership.store.isolated_reads + 1;
-    let pause_us = backoff_us(tick, reads);
+    let delay_us = backoff_us(tick, reads);
     let store = &mut tick.tables.membership.store;
     store.isolated_reads = reads;
-    store.next_isolated_read_us = tick.now_us + pause_us;
+    store.next_isolated_read_us = tick.now_us + delay_us;
 }
 
 /// Handles a view that this VM wrote.
@@ -148,7 +148,7 @@
 fn handle_conflict(tick: &mut Tick<'_>) {
     let conflicts = tick.tables.membership.store.conflicts + 1;
     // A single conflict is common; several in a row mean that reads are stale.
-    let pause_us = if conflicts > 1 {
+    let delay_us = if conflicts > 1 {
         backoff_us(tick, conflicts - 1)
     } else {
         0
@@ -157,17 +157,17 @@
     link.conflicts = conflicts;
     link.needs_read = true;
     link.touched_us = None;
-    link.not_before_us = tick.now_us + pause_us;
+    link.not_before_us = tick.now_us + delay_us;
 }
 
 /// Handles a request that was not answered; it may have taken effect.
 fn handle_unavailable(tick: &mut Tick<'_>, pending: Option<PendingStoreRequest>) {
     let failures = tick.tables.membership.store.failures + 1;
-    let pause_us = backoff_us(tick, failures);
+    let delay_us = backoff_us(tick, failures);
     let link = &mut tick.tables.membership.store;
     link.failures = failures;
     link.touched_us = None;
-    link.not_before_us = tick.now_us + pause_us;
+    link.not_before_us = tick.now_us + delay_us;
     if pending.is_some_and(|pending| pending.kind == StoreRequestKind::Write) {
         link.needs_read = true;
     }
@@ -196,14 +196,14 @@
     if tick.tables.membership.store.pending.is_some() {
         return;
     }
-    let Some((due_us, wanted)) = next_request(tick) else {
+    let Some((due_us, request)) = next_request(tick) else {
         return;
     };
     let due_us = due_us.max(tick.tables.membership.store.not_before_us);
     if due_us > tick.now_us {
         schedule(tick, due_us);
     } else {
-        send_request(tick, wanted);
+        send_request(tick, request);
     }
 }
 
@@ -308,12 +308,12 @@
     Some(next_us.max(confirmed_us + interval_us * 2))
 }
 
-/// Returns when this VM reads the view next, if it is cut off from the others.
+/// Returns when this VM reads the view next, if it is isolated.
 fn read_due_us(tick: &Tick<'_>) -> Option<u64> {
     is_isolated(tick).then_some(tick.tables.membership.store.next_isolated_read_us)
 }
 
-/// Returns whether this VM has received no confirmation for longer than a lease.
+/// Returns whether this VM is isolated: it has received no confirmation for longer than a lease.
 fn is_isolated(tick: &Tick<'_>) -> bool {
     let limit_us = tick.settings.lease_ms * 1_000;
     let age_us = tick.tables.lease.age_us(tick.now_us);
@@ -323,10 +323,10 @@
 }
 
 /// Sends a request and records it as pending.
-fn send_request(tick: &mut Tick<'_>, wanted: NextRequest) {
+fn send_request(tick: &mut Tick<'_>, request: NextRequest) {
     let expected_version = tick.tables.view_version;
     let link = &mut tick.tables.membership.store;
-    let (kind, request) = match wanted {
+    let (kind, request) = match request {
         NextRequest::Read => (StoreRequestKind::Read, StoreRequest::Read),
         NextRequest::Touch => {
             link.touched_us = Some(tick.now_us);
--- a/crates/core/src/systems/membership/suspicion.rs
+++ b/crates/core/src/systems/membership/suspicion.rs
@@ -23,13 +23,13 @@
         let Some(member) = tables.view.member(vm) else {
             continue;
         };
-        let is_same = |row: &&Vm| row.incarnation == member.incarnation;
-        let heard_us = tables
+        let is_same_incarnation = |row: &&Vm| row.incarnation == member.incarnation;
+        let last_heard_us = tables
             .vms
             .get(vm)
-            .filter(is_same)
+            .filter(is_same_incarnation)
             .map_or(0, |r| r.last_heard_us);
-        if now_us.saturating_sub(heard_us.max(*since_us)) > limit_us {
+        if now_us.saturating_sub(last_heard_us.max(*since_us)) > limit_us {
             silent.push((vm.clone(), member.incarnation));
         }
     }
@@ -78,9 +78,9 @@
     if !is_known || vm == tick.settings.vm {
         return;
     }
-    let suspects = &mut tick.tables.membership.suspicions;
-    let is_first = !suspects.contains_key(&vm);
-    let row = suspects.entry(vm.clone()).or_insert_with(|| Suspicion {
+    let suspicions = &mut tick.tables.membership.suspicions;
+    let is_first = !suspicions.contains_key(&vm);
+    let row = suspicions.entry(vm.clone()).or_insert_with(|| Suspicion {
         incarnation,
         reports: Default::default(),
     });
@@ -96,19 +96,19 @@
 /// Watchers that are to be removed themselves are not counted. The result is
 /// the largest set of suspects in which each is reported by all its watchers
 /// outside the set, and by at least one.
-pub(super) fn failed_members(tick: &Tick<'_>, gone: &BTreeSet<VmName>) -> BTreeSet<VmName> {
+pub(super) fn failed_members(tick: &Tick<'_>, removed: &BTreeSet<VmName>) -> BTreeSet<VmName> {
     let tables = &*tick.tables;
-    let suspects = &tables.membership.suspicions;
-    if suspects.is_empty() {
+    let suspicions = &tables.membership.suspicions;
+    if suspicions.is_empty() {
         return BTreeSet::new();
     }
-    let mut failed: BTreeSet<VmName> = suspects
+    let mut failed: BTreeSet<VmName> = suspicions
         .keys()
         .filter(|vm| !heard_recently(tick, vm))
         .cloned()
         .collect();
     loop {
-        let is_live = |vm: &&VmName| !failed.contains(*vm) && !gone.contains(*vm);
+        let is_live = |vm: &&VmName| !failed.contains(*vm) && !removed.contains(*vm);
         let cleared: Vec<VmName> = failed
             .iter()
             .filter(|vm| {
@@ -129,11 +129,11 @@
 
 /// Returns whether a watcher's report about a member has not expired.
 fn is_reported(tick: &Tick<'_>, vm: &VmName, by: &VmName) -> bool {
-    let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_RETENTION_ROUNDS;
+    let retention_us = tick.settings.heartbeat_ms * 1_000 * REPORT_RETENTION_ROUNDS;
     let suspect = tick.tables.membership.suspicions.get(vm);
     suspect
         .and_then(|suspect| suspect.reports.get(by))
-        .is_some_and(|at_us| tick.now_us.saturating_sub(*at_us) <= kept_us)
+        .is_some_and(|at_us| tick.now_us.saturating_sub(*at_us) <= retention_us)
 }
 
 /// Returns whether this VM itself received a message from a member within the
@@ -150,8 +150,8 @@
 
 /// Removes suspects whose reports have all expired.
 pub(super) fn expire_suspicions(tick: &mut Tick<'_>) {
-    let kept_us = tick.settings.heartbeat_ms * 1_000 * REPORT_RETENTION_ROUNDS;
-    let oldest_us = tick.now_us.saturating_sub(kept_us);
-    let suspects = &mut tick.tables.membership.suspicions;
-    suspects.retain(|_, suspect| suspect.reports.values().any(|at_us| *at_us >= oldest_us));
+    let retention_us = tick.settings.heartbeat_ms * 1_000 * REPORT_RETENTION_ROUNDS;
+    let oldest_us = tick.now_us.saturating_sub(retention_us);
+    let suspicions = &mut tick.tables.membership.suspicions;
+    suspicions.retain(|_, suspect| suspect.reports.values().any(|at_us| *at_us >= oldest_us));
 }
--- a/crates/core/src/systems/membership/topology.rs
+++ b/crates/core/src/systems/membership/topology.rs
@@ -8,7 +8,7 @@
 use crate::tables::{HeartbeatPeers, View, hash_name};
 
 /// Largest fleet in which every member sends heartbeats to all others.
-pub(super) const MAX_ALL_TO_ALL: usize = 9;
+pub(super) const MAX_MESH_SIZE: usize = 9;
 
 /// Number of VMs that watch each member of a larger fleet.
 ///
@@ -35,7 +35,7 @@
     let now_us = tick.now_us;
     let mut peers = if !is_member {
         non_member_peers(view, me)
-    } else if view.members.len() <= MAX_ALL_TO_ALL {
+    } else if view.members.len() <= MAX_MESH_SIZE {
         mesh_peers(view, me)
     } else {
         tree_peers(view, me, tick.settings.fan_out)
@@ -50,7 +50,7 @@
 
 /// Returns the VMs that watch a member in a view.
 pub(super) fn watchers_of(view: &View, vm: &VmName) -> Vec<VmName> {
-    if view.members.len() <= MAX_ALL_TO_ALL {
+    if view.members.len() <= MAX_MESH_SIZE {
         return others(view, vm);
     }
     let ring = ring(view);
@@ -58,14 +58,14 @@
     at.map_or_else(Vec::new, |at| successors(&ring, at))
 }
 
-/// Returns the peers of a VM that is no member: a few members, by hash.
+/// Returns the peers of a VM that is not a member: a few members, chosen by hash.
 fn non_member_peers(view: &View, me: &VmName) -> HeartbeatPeers {
     let mut members = others(view, me);
     members.sort_by_key(|vm| hash_name(vm.as_str(), hash_name(me.as_str(), RING_HASH_SEED)));
-    members.truncate(MAX_ALL_TO_ALL);
+    members.truncate(MAX_MESH_SIZE);
     HeartbeatPeers {
         parents: members,
-        is_tree: view.members.len() > MAX_ALL_TO_ALL,
+        is_tree: view.members.len() > MAX_MESH_SIZE,
         ..HeartbeatPeers::default()
     }
 }
--- a/crates/core/src/systems/membership/views.rs
+++ b/crates/core/src/systems/membership/views.rs
@@ -62,10 +62,10 @@
         };
         tables.membership.departed.insert(member.vm.clone(), row);
     }
-    let is_me = |member: &&crate::tables::Member| {
+    let is_self = |member: &&crate::tables::Member| {
         member.vm == settings.vm && member.incarnation == settings.incarnation
     };
-    let lost_membership = removed.iter().any(|member| is_me(&member));
+    let lost_membership = removed.iter().any(|member| is_self(&member));
     if lost_membership && tables.membership.departure.is_draining {
         tables.membership.departure.removed_us = Some(now_us);
         tables.timers.set(now_us + 1, Timer::Store);
@@ -150,15 +150,15 @@
     if !tables.membership.peers.is_tree && !is_writer {
         return;
     }
-    let kept_us = tick.settings.suspect_ms * 1_000;
-    let oldest_us = tick.now_us.saturating_sub(kept_us);
+    let recent_us = tick.settings.suspect_ms * 1_000;
+    let oldest_us = tick.now_us.saturating_sub(recent_us);
     let behind: Vec<(VmName, Epoch)> = tables
         .vms
         .iter()
         .filter(|(_, row)| row.epoch.max(row.sent_epoch) < epoch)
         .filter(|(_, row)| {
             row.heartbeat_request
-                .is_some_and(|asked| asked.arrived_us >= oldest_us)
+                .is_some_and(|request| request.arrived_us >= oldest_us)
         })
         .map(|(vm, row)| (vm.clone(), row.epoch.max(row.sent_epoch)))
         .collect();
@@ -224,11 +224,11 @@
     if epoch <= known {
         return;
     }
-    let asked = &mut tick.tables.membership.view_requested;
-    if asked.is_some_and(|(asked, at_us)| asked >= epoch && now_us < at_us + VIEW_RETRY_US) {
+    let requested = &mut tick.tables.membership.view_requested;
+    if requested.is_some_and(|(last, at_us)| last >= epoch && now_us < at_us + VIEW_RETRY_US) {
         return;
     }
-    *asked = Some((epoch, now_us));
+    *requested = Some((epoch, now_us));
     tick.send(vm, MembershipMessage::ViewRequest { known });
 }
 
--- a/crates/core/src/systems/peers/group.rs
+++ b/crates/core/src/systems/peers/group.rs
@@ -12,23 +12,23 @@
 /// Marks VMs that have become silent, removes those that have stayed silent and counts the others.
 pub(super) fn update_liveness(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
-    let silent_us = tick.settings.peer_timeout_ms * 1_000;
-    let forget_us = tick.settings.peer_retention_ms * 1_000;
-    let mut silenced: Vec<VmName> = Vec::new();
-    let mut forgotten: Vec<VmName> = Vec::new();
+    let timeout_us = tick.settings.peer_timeout_ms * 1_000;
+    let retention_us = tick.settings.peer_retention_ms * 1_000;
+    let mut newly_silent: Vec<VmName> = Vec::new();
+    let mut expired: Vec<VmName> = Vec::new();
     for (vm, peer) in tick.tables.peering.peers.iter() {
         let silence_us = now_us.saturating_sub(peer.last_contact_us());
-        if silence_us > forget_us {
-            forgotten.push(vm.clone());
+        if silence_us > retention_us {
+            expired.push(vm.clone());
         }
-        if peer.is_reachable && silence_us > silent_us {
-            silenced.push(vm.clone());
+        if peer.is_reachable && silence_us > timeout_us {
+            newly_silent.push(vm.clone());
         }
     }
-    for vm in silenced {
+    for vm in newly_silent {
         mark_silent(tick, &vm);
     }
-    for vm in forgotten {
+    for vm in expired {
         tick.tables.peering.peers.remove(&vm);
         tick.log(Decision::PeerForgotten { vm });
     }
@@ -56,11 +56,11 @@
     let Some(peer) = tables.peering.peers.get_mut(vm) else {
         return;
     };
-    let before = std::mem::replace(&mut peer.running, running.clone());
-    if before == running {
+    let previous = std::mem::replace(&mut peer.running, running.clone());
+    if previous == running {
         return;
     }
-    for (name, calls) in &before {
+    for (name, calls) in &previous {
         if let Some(row) = tables.upstreams.get_mut(name) {
             row.foreign_calls = row.foreign_calls.saturating_sub(*calls);
         }
@@ -70,7 +70,7 @@
             row.foreign_calls += calls;
         }
     }
-    for (name, _) in before.iter().chain(&running) {
+    for (name, _) in previous.iter().chain(&running) {
         placement::refresh_and_assign(tick, name);
     }
 }
@@ -79,7 +79,7 @@
 pub(super) fn update_counts(tick: &mut Tick<'_>) {
     let me = &tick.settings.vm;
     let peering = &mut tick.tables.peering;
-    let before = peering.usable_fraction();
+    let previous = peering.usable_fraction();
     let peers = || peering.peers.iter();
     // A VM that announced its departure and then became silent has ended.
     let known = peers().filter(|(_, peer)| peer.is_reachable || !peer.is_leaving);
@@ -88,7 +88,7 @@
     let is_before = |vm: &VmName, peer: &Peer| peer.is_reachable && !peer.is_leaving && vm < me;
     let rank = peers().filter(|(vm, peer)| is_before(vm, peer)).count() as u64;
     (peering.known_vms, peering.reachable_vms, peering.rank) = (known_vms, heard_vms, rank);
-    if peering.usable_fraction() != before {
+    if peering.usable_fraction() != previous {
         rates::rescale_buckets(tick);
         let (heard_vms, known_vms) = tick.tables.peering.usable_fraction();
         tick.log(Decision::GroupChanged {
--- a/crates/core/src/systems/peers/mod.rs
+++ b/crates/core/src/systems/peers/mod.rs
@@ -60,7 +60,7 @@
         departure.has_left = true;
     }
     for news in work.news {
-        receiving::handle(tick, news);
+        receiving::handle_event(tick, news);
     }
     if work.is_due {
         group::update_liveness(tick);
@@ -77,11 +77,11 @@
 /// Requests a snapshot from another VM, unless one was requested recently.
 fn request_snapshot(tick: &mut Tick<'_>, address: Arc<str>, with_programs: bool) {
     let now_us = tick.now_us;
-    let asked = &mut tick.tables.peering.snapshot_requested_us;
-    if asked.is_some_and(|asked_us| now_us < asked_us + SNAPSHOT_RETRY_US) {
+    let requested_us = &mut tick.tables.peering.snapshot_requested_us;
+    if requested_us.is_some_and(|sent_us| now_us < sent_us + SNAPSHOT_RETRY_US) {
         return;
     }
-    *asked = Some(now_us);
+    *requested_us = Some(now_us);
     tick.outputs.push(Output::AskSnapshot {
         address,
         with_programs,
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -9,8 +9,8 @@
 use crate::tables::{NCALLS_PER_CALL, Peer, ProgramKnowledge};
 
 /// Dispatches input from another VM.
-pub(super) fn handle(tick: &mut Tick<'_>, news: PeerNews) {
-    match news {
+pub(super) fn handle_event(tick: &mut Tick<'_>, event: PeerNews) {
+    match event {
         PeerNews::Summary(summary) => apply_summary(tick, *summary),
         PeerNews::Snapshot { asked_us, snapshot } => apply_snapshot(tick, asked_us, *snapshot),
         PeerNews::NoSnapshot => tick.tables.peering.snapshot_requested_us = None,
@@ -67,7 +67,7 @@
 /// Updates the row of the sender; returns whether the summary is new.
 fn update_sender(tick: &mut Tick<'_>, summary: &Summary) -> bool {
     let now_us = tick.now_us;
-    let me = tick.settings.incarnation;
+    let own_incarnation = tick.settings.incarnation;
     let tables = &mut *tick.tables;
     let peer = tables
         .peering
@@ -93,7 +93,10 @@
     peer.is_leaving = summary.is_leaving;
     peer.revision = summary.revision;
     peer.list = summary.list;
-    if let Some(echo) = summary.echo.filter(|echo| echo.incarnation == me) {
+    if let Some(echo) = summary
+        .echo
+        .filter(|echo| echo.incarnation == own_incarnation)
+    {
         peer.acked_round = peer.acked_round.max(echo.round);
     }
     let was_heard = std::mem::replace(&mut peer.is_reachable, true);
@@ -116,10 +119,10 @@
         .echo
         .filter(|echo| echo.incarnation == tick.settings.incarnation);
     let tables = &mut *tick.tables;
-    let Some(true_us) = echo.and_then(|echo| tables.peering.sent_us(echo.round)) else {
+    let Some(measured_us) = echo.and_then(|echo| tables.peering.sent_us(echo.round)) else {
         return;
     };
-    let read_us = |age_us: Option<u64>| age_us.and_then(|age_us| true_us.checked_sub(age_us));
+    let read_us = |age_us: Option<u64>| age_us.and_then(|age_us| measured_us.checked_sub(age_us));
     if summary.revision <= tables.fleet.revision
         && let Some(read_us) = read_us(summary.config_age_us)
     {
--- a/crates/core/src/systems/peers/sending.rs
+++ b/crates/core/src/systems/peers/sending.rs
@@ -17,7 +17,7 @@
 const RESEND_ROUNDS: u64 = 3;
 
 /// Rounds between two summaries to an unreachable VM.
-const SILENT_ROUNDS: u64 = 5;
+const UNREACHABLE_SEND_ROUNDS: u64 = 5;
 
 /// Sends a round of summaries.
 pub(super) fn send_summaries(tick: &mut Tick<'_>) {
@@ -30,7 +30,7 @@
     for (vm, peer) in tables.peering.peers.iter() {
         known.push(&peer.address);
         if !peer.is_reachable
-            && !round.is_multiple_of(SILENT_ROUNDS)
+            && !round.is_multiple_of(UNREACHABLE_SEND_ROUNDS)
             && peer.last_heard_us.is_some()
         {
             continue;
--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -12,16 +12,16 @@
 use crate::tables::{ProgramKnowledge, ReadState, Timer};
 
 /// Age of the data at which the first VM reads again.
-const FIRST_READ_US: u64 = 450_000;
+const FIRST_READ_AGE_US: u64 = 450_000;
 
 /// Age of the data at which the second VM reads.
-const SECOND_READ_US: u64 = 900_000;
+const SECOND_READ_AGE_US: u64 = 900_000;
 
 /// Added to the age for each further rank, so that VMs do not all read at once.
-const READ_STEP_US: u64 = 80_000;
+const READ_AGE_STEP_US: u64 = 80_000;
 
 /// Number of ranks after the second whose age increases; all later ones read at the same age.
-const READ_STEPS: u64 = 4;
+const READ_AGE_STEPS: u64 = 4;
 
 /// Backoff after the first failure; it doubles with each further one.
 const MIN_BACKOFF_US: u64 = 100_000;
@@ -85,7 +85,7 @@
         }
         SourceEvent::Upstreams { asked_us, list } => {
             record_answer(tick, &SourcePart::Upstreams);
-            record_return(tick);
+            record_outage_end(tick);
             config::adopt_store_list(tick, &list);
             tick.tables.source.list.record_read(asked_us);
         }
@@ -117,7 +117,7 @@
 }
 
 /// Returns the read state of a part; budgets have none.
-fn reading_of<'a>(tick: &'a mut Tick<'_>, part: &SourcePart) -> Option<&'a mut ReadState> {
+fn read_state<'a>(tick: &'a mut Tick<'_>, part: &SourcePart) -> Option<&'a mut ReadState> {
     let source = &mut tick.tables.source;
     match part {
         SourcePart::Config => Some(&mut source.config),
@@ -130,10 +130,10 @@
 
 /// Records an answer and resets the backoff.
 fn record_answer(tick: &mut Tick<'_>, part: &SourcePart) {
-    if let Some(reading) = reading_of(tick, part) {
-        reading.requested_us = None;
-        reading.failures = 0;
-        reading.retry_us = 0;
+    if let Some(state) = read_state(tick, part) {
+        state.requested_us = None;
+        state.failures = 0;
+        state.retry_us = 0;
     }
     if std::mem::take(&mut tick.tables.source.is_unreachable) {
         tick.log(Decision::SourceBack);
@@ -143,11 +143,11 @@
 /// Records a failed request and backs off.
 fn record_failure(tick: &mut Tick<'_>, part: &SourcePart) {
     let now_us = tick.now_us;
-    if let Some(reading) = reading_of(tick, part) {
-        let pause_us = (MIN_BACKOFF_US << reading.failures.min(4)).min(MAX_BACKOFF_US);
-        reading.requested_us = None;
-        reading.failures += 1;
-        reading.retry_us = now_us + pause_us;
+    if let Some(state) = read_state(tick, part) {
+        let delay_us = (MIN_BACKOFF_US << state.failures.min(4)).min(MAX_BACKOFF_US);
+        state.requested_us = None;
+        state.failures += 1;
+        state.retry_us = now_us + delay_us;
     }
     if !std::mem::replace(&mut tick.tables.source.is_unreachable, true) {
         let age_us = tick.tables.source.config.age_us(now_us);
@@ -158,7 +158,7 @@
 }
 
 /// Records the end of a store outage in which list entries may have expired.
-fn record_return(tick: &mut Tick<'_>) {
+fn record_outage_end(tick: &mut Tick<'_>) {
     let now_us = tick.now_us;
     let source = &mut tick.tables.source;
     if source
@@ -177,15 +177,15 @@
     let parts = [
         (SourcePart::Config, SourceRequest::Config, age_us),
         (SourcePart::Upstreams, SourceRequest::Upstreams, age_us),
-        (SourcePart::Vms, SourceRequest::Vms, vms_age_us(tick)),
+        (SourcePart::Vms, SourceRequest::Vms, vm_read_age_us(tick)),
         (SourcePart::Losses, SourceRequest::Losses, 0),
     ];
     let mut next_us = u64::MAX;
     for (part, request, age_us) in parts {
-        let Some(reading) = reading_of(tick, &part) else {
+        let Some(state) = read_state(tick, &part) else {
             continue;
         };
-        let due_us = due_us(reading, age_us);
+        let due_us = due_us(state, age_us);
         if due_us > now_us {
             next_us = next_us.min(due_us);
             continue;
@@ -194,10 +194,10 @@
             next_us = next_us.min(now_us + PEER_ANSWER_WAIT_US);
             continue;
         }
-        let Some(reading) = reading_of(tick, &part) else {
+        let Some(state) = read_state(tick, &part) else {
             continue;
         };
-        reading.requested_us = Some(now_us);
+        state.requested_us = Some(now_us);
         next_us = next_us.min(now_us + REQUEST_TIMEOUT_US);
         tick.outputs.push(Output::Source(request));
     }
@@ -207,10 +207,10 @@
 /// Returns the age at which the registered VMs are read again.
 ///
 /// It is shorter during startup, since VMs with a disk may register a little later than this one.
-fn vms_age_us(tick: &Tick<'_>) -> u64 {
+fn vm_read_age_us(tick: &Tick<'_>) -> u64 {
     let source = &tick.tables.source;
-    let is_young = tick.now_us < source.started_us + STARTUP_US;
-    if source.keepers.is_empty() && is_young {
+    let is_starting = tick.now_us < source.started_us + STARTUP_US;
+    if source.keepers.is_empty() && is_starting {
         STARTUP_VM_READ_AGE_US
     } else {
         VM_READ_AGE_US
@@ -224,23 +224,23 @@
     let source = &tick.tables.source;
     let is_pending = source.knowledge == ProgramKnowledge::Pending;
     let has_waited = tick.now_us >= source.started_us + PEER_ANSWER_WAIT_US;
-    let is_heard = source.vms.read_us.is_some();
-    is_pending && is_heard && has_waited && tick.tables.peering.snapshot_requested_us.is_none()
+    let knows_vms = source.vms.read_us.is_some();
+    is_pending && knows_vms && has_waited && tick.tables.peering.snapshot_requested_us.is_none()
 }
 
 /// Returns the age of the data at which a VM of this rank reads again.
 fn read_age_us(rank: u64) -> u64 {
     match rank {
-        0 => FIRST_READ_US,
-        rank => SECOND_READ_US + READ_STEP_US * (rank - 1).min(READ_STEPS),
+        0 => FIRST_READ_AGE_US,
+        rank => SECOND_READ_AGE_US + READ_AGE_STEP_US * (rank - 1).min(READ_AGE_STEPS),
     }
 }
 
 /// Returns when a part has to be read, after any backoff or pending request.
-fn due_us(reading: &ReadState, age_us: u64) -> u64 {
-    let old_us = reading.read_us.map_or(0, |read_us| read_us + age_us);
-    let answer_us = reading
+fn due_us(state: &ReadState, age_us: u64) -> u64 {
+    let stale_us = state.read_us.map_or(0, |read_us| read_us + age_us);
+    let answer_us = state
         .requested_us
         .map_or(0, |asked_us| asked_us + REQUEST_TIMEOUT_US);
-    old_us.max(reading.retry_us).max(answer_us)
+    stale_us.max(state.retry_us).max(answer_us)
 }
