--- a/crates/core/src/config/host_route.rs
+++ b/crates/core/src/config/host_route.rs
@@ -94,13 +94,13 @@
         if total == 0 {
             return self.backends.first().map(|row| &row.service);
         }
-        let mut at = spread % total;
+        let mut offset = spread % total;
         for backend in &self.backends {
             let weight = u64::from(backend.weight);
-            if at < weight {
+            if offset < weight {
                 return Some(&backend.service);
             }
-            at -= weight;
+            offset -= weight;
         }
         None
     }
--- a/crates/core/src/systems/admission/mod.rs
+++ b/crates/core/src/systems/admission/mod.rs
@@ -66,7 +66,7 @@
 /// Resolves and authenticates a new call, and refuses it or moves it to its first stage.
 fn handle_arrival(tick: &mut Tick<'_>, request: NewCall) {
     let id = request.id;
-    let admitted = find_route(tick, &request).and_then(|route| {
+    let resolved = find_route(tick, &request).and_then(|route| {
         // On an open route, the key of a relayed call is ignored.
         let is_keyless = route.open && route.host.is_some();
         let key = request.key.as_ref().filter(|_| !is_keyless);
@@ -78,8 +78,8 @@
         }
         Ok((route, account))
     });
-    let (route, account) = match admitted {
-        Ok(admitted) => admitted,
+    let (route, account) = match resolved {
+        Ok(resolved) => resolved,
         Err(kind) => {
             let kind = soften_denial(tick, &request, kind);
             report_refusal(tick, id, kind, Execution::NotRun, None);
@@ -193,13 +193,13 @@
     let relayed = request.relayed.as_deref();
     let row = account.and_then(|account| tick.tables.accounts.get(account));
     let priority = row.and_then(|row| row.config.priority);
-    let timeout_us = tick.now_us + route.timeout_ms * 1_000;
-    let caller_us = relayed.map_or(u64::MAX, |relayed| relayed.deadline_us);
+    let route_deadline_us = tick.now_us + route.timeout_ms * 1_000;
+    let caller_deadline_us = relayed.map_or(u64::MAX, |relayed| relayed.deadline_us);
     let program = relayed.and_then(|relayed| relayed.program.clone());
     let is_stream = route.kind.is_stream();
     Box::new(RelayState {
-        deadline_us: caller_us.min(timeout_us),
-        stream_deadline_us: caller_us.min(timeout_us + STREAM_GRACE_US),
+        deadline_us: caller_deadline_us.min(route_deadline_us),
+        stream_deadline_us: caller_deadline_us.min(route_deadline_us + STREAM_GRACE_US),
         priority: priority.unwrap_or(route.priority),
         program: program.map(|name| ProgramKey {
             account: account.cloned().unwrap_or_else(|| AccountName::from("")),
@@ -282,8 +282,8 @@
     let model = match &config.kind {
         ServiceKind::Plain => None,
         ServiceKind::Engine(engine) => {
-            let asked = relayed.and_then(|relayed| relayed.model.clone());
-            let model = asked.or_else(|| engine.models.first().cloned());
+            let requested = relayed.and_then(|relayed| relayed.model.clone());
+            let model = requested.or_else(|| engine.models.first().cloned());
             Some(model.ok_or(RefusalKind::ModelUnknown)?)
         }
     };
@@ -351,7 +351,7 @@
     }
 }
 
-/// Removes a call and refuses it, after settling its turn, budget, charge and rate.
+/// Refuses and removes a call; settles its turn, charge, budget and rate.
 pub(crate) fn refuse(
     tick: &mut Tick<'_>,
     id: CallId,
@@ -367,19 +367,19 @@
     } else {
         ran
     };
-    let own = call.own_execution(ran);
-    let used_tokens = match own {
+    let own_execution = call.own_execution(ran);
+    let used_tokens = match own_execution {
         Execution::NotRun => 0,
         _ => call.used_tokens.unwrap_or_else(|| call.max_total_tokens()),
     };
-    if own != Execution::NotRun {
+    if own_execution != Execution::NotRun {
         outcomes::charge_last_run(tick, &call);
     }
-    homes::end_turn(tick, &call, own, used_tokens, None);
+    homes::end_turn(tick, &call, own_execution, used_tokens, None);
     budgets::settle_turn(tick, &call);
     let was_admitted = matches!(call.stage, Stage::Budget | Stage::Place);
     if was_admitted
-        && own == Execution::NotRun
+        && own_execution == Execution::NotRun
         && let Some(account) = call.account.as_ref().filter(|_| call.relay.is_some())
     {
         rates::refund_call(tick, account);
@@ -408,8 +408,8 @@
 ///
 /// A call that runs on an upstream is charged by what is known of it.
 fn refuse_all(tick: &mut Tick<'_>) {
-    let open: Vec<CallId> = tick.tables.calls.iter().map(|(id, _)| *id).collect();
-    for id in open {
+    let open_calls: Vec<CallId> = tick.tables.calls.iter().map(|(id, _)| *id).collect();
+    for id in open_calls {
         let Some(call) = tick.tables.calls.get_mut(&id) else {
             continue;
         };
--- a/crates/core/src/systems/budgets/mod.rs
+++ b/crates/core/src/systems/budgets/mod.rs
@@ -208,8 +208,8 @@
         reserved_tokens,
     });
     for id in waiting {
-        let waits = |call: &Call| call.stage == Stage::Budget;
-        if !tick.tables.calls.get(&id).is_some_and(waits) {
+        let is_waiting = |call: &Call| call.stage == Stage::Budget;
+        if !tick.tables.calls.get(&id).is_some_and(is_waiting) {
             continue;
         }
         match tokens {
--- a/crates/core/src/systems/rates/allocation.rs
+++ b/crates/core/src/systems/rates/allocation.rs
@@ -37,10 +37,10 @@
 pub(super) fn next_limits(row: &OwnedAccount, loan: &Loan) -> RateLimit {
     let target = target_limits(row, loan);
     let counted = loan.upper_bound();
-    let keeps = !row.is_over_limits();
+    let may_keep = !row.is_over_limits();
     // While a grant is unconfirmed, the burst that it frees is kept for the calls that return
     // with the confirmation.
-    let most_ncalls = if loan.open_grants.len() > 1 {
+    let max_burst_ncalls = if loan.open_grants.len() > 1 {
         loan.granted.burst_ncalls
     } else {
         counted.burst_ncalls + row.reserve.burst_ncalls
@@ -50,13 +50,13 @@
             target.rate_mcalls_per_s,
             loan.granted.rate_mcalls_per_s,
             counted.rate_mcalls_per_s + row.reserve.rate_mcalls_per_s,
-            keeps,
+            may_keep,
         ),
         burst_ncalls: apply_hysteresis(
             target.burst_ncalls,
             loan.granted.burst_ncalls,
-            most_ncalls,
-            keeps,
+            max_burst_ncalls,
+            may_keep,
         ),
     };
     if next.burst_ncalls < NCALLS_PER_CALL {
@@ -75,18 +75,18 @@
 ) -> RateLimit {
     let next = next_limits(row, loan);
     let granted_ncalls = loan.granted.burst_ncalls;
-    let left_ncalls = granted_ncalls.saturating_sub(recall_ncalls);
+    let remaining_ncalls = granted_ncalls.saturating_sub(recall_ncalls);
     RateLimit {
-        burst_ncalls: next.burst_ncalls.min(left_ncalls),
+        burst_ncalls: next.burst_ncalls.min(remaining_ncalls),
         ..next
     }
 }
 
-/// Returns the target, or `granted` if that is only slightly higher, but no more than `most`.
-fn apply_hysteresis(target: u64, granted: u64, most: u64, keeps: bool) -> u64 {
+/// Returns `target`, or `granted` if that is slightly higher and may be kept, capped at `max`.
+fn apply_hysteresis(target: u64, granted: u64, max: u64, may_keep: bool) -> u64 {
     let is_near = target <= granted && granted - target <= granted / HYSTERESIS_DIVISOR;
-    let next = if keeps && is_near { granted } else { target };
-    next.min(most)
+    let next = if may_keep && is_near { granted } else { target };
+    next.min(max)
 }
 
 /// Returns how much of the reserve's level moves to a holder with its next grant.
@@ -97,13 +97,13 @@
     let level_ncalls = loan.estimate_level_ncalls(now_us);
     let free_ncalls = row.reserve.level_ncalls;
     let counted_ncalls = loan.upper_bound().burst_ncalls;
-    let grown_ncalls = next.burst_ncalls.saturating_sub(counted_ncalls);
-    let along_ncalls = scale(free_ncalls, grown_ncalls, row.reserve.burst_ncalls);
-    let part_ncalls = scale(free_ncalls, loan.weight, row.weight);
+    let added_burst_ncalls = next.burst_ncalls.saturating_sub(counted_ncalls);
+    let burst_part_ncalls = scale(free_ncalls, added_burst_ncalls, row.reserve.burst_ncalls);
+    let weighted_ncalls = scale(free_ncalls, loan.weight, row.weight);
     let room_ncalls = next.burst_ncalls.saturating_sub(level_ncalls);
     needed_ncalls(loan, level_ncalls, free_ncalls)
-        .max(along_ncalls)
-        .max(part_ncalls.min(room_ncalls))
+        .max(burst_part_ncalls)
+        .max(weighted_ncalls.min(room_ncalls))
         .min(free_ncalls)
 }
 
@@ -111,8 +111,8 @@
 /// together allow.
 fn needed_ncalls(loan: &Loan, level_ncalls: u64, free_ncalls: u64) -> u64 {
     let wanted_ncalls = loan.waiting_calls.saturating_mul(NCALLS_PER_CALL);
-    let reached_ncalls = wanted_ncalls.min(level_ncalls + free_ncalls);
-    let whole_ncalls = reached_ncalls / NCALLS_PER_CALL * NCALLS_PER_CALL;
+    let admissible_ncalls = wanted_ncalls.min(level_ncalls + free_ncalls);
+    let whole_ncalls = admissible_ncalls / NCALLS_PER_CALL * NCALLS_PER_CALL;
     whole_ncalls.saturating_sub(level_ncalls)
 }
 
--- a/crates/core/src/systems/rates/calls.rs
+++ b/crates/core/src/systems/rates/calls.rs
@@ -41,11 +41,11 @@
     };
     share.arrivals.count(now_us);
     share.last_call_us = now_us;
-    let begins = tables
+    let begins_program = tables
         .calls
         .get(&id)
         .is_some_and(|call| call.begins_program);
-    share.queue_mut(begins).push_back(id);
+    share.queue_mut(begins_program).push_back(id);
     serve_waiting(tick, &account);
     if is_waiting(tick, id) {
         let due_us = wait_end_us(tick, id);
@@ -74,8 +74,8 @@
     let mut wait_us = tick.settings.rate_wait_ms * 1_000;
     let call = tick.tables.calls.get(&id);
     if let Some((call, relay)) = call.and_then(|call| Some((call, call.relay.as_ref()?))) {
-        let left_us = relay.deadline_us.saturating_sub(tick.now_us);
-        wait_us = wait_us.min(left_us / RELAY_WAIT_DIVISOR);
+        let remaining_us = relay.deadline_us.saturating_sub(tick.now_us);
+        wait_us = wait_us.min(remaining_us / RELAY_WAIT_DIVISOR);
         // Refusing the first call of a program loses no earlier turns, so it can be retried later.
         if call.begins_program {
             wait_us = wait_us.min(relay.route.objective_ms * 1_000 / BEGIN_WAIT_DIVISOR);
@@ -87,28 +87,28 @@
 /// Admits waiting calls while the share holds calls, those that begin a program last.
 pub(super) fn serve_waiting(tick: &mut Tick<'_>, account: &AccountName) {
     serve_queue(tick, account, false);
-    let others = tick.tables.shares.get(account);
-    if others.is_some_and(|share| share.waiting.is_empty()) {
+    let share = tick.tables.shares.get(account);
+    if share.is_some_and(|share| share.waiting.is_empty()) {
         serve_queue(tick, account, true);
     }
 }
 
 /// Admits calls from the front of one queue while the share holds calls.
-fn serve_queue(tick: &mut Tick<'_>, account: &AccountName, begins: bool) {
+fn serve_queue(tick: &mut Tick<'_>, account: &AccountName, begins_program: bool) {
     let now_us = tick.now_us;
     loop {
-        remove_ended_calls(tick, account, begins);
+        remove_ended_calls(tick, account, begins_program);
         let Some(share) = tick.tables.shares.get_mut(account) else {
             return;
         };
-        let Some(&id) = share.queue_mut(begins).front() else {
+        let Some(&id) = share.queue_mut(begins_program).front() else {
             return;
         };
         share.drop_expired(now_us);
-        if !share.try_take(begins, now_us) {
+        if !share.try_take(begins_program, now_us) {
             return;
         }
-        share.queue_mut(begins).pop_front();
+        share.queue_mut(begins_program).pop_front();
         admit(tick, id, account);
     }
 }
@@ -119,13 +119,15 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    let begins = share.waiting.is_empty();
-    if begins && share.waiting_to_begin.is_empty() {
+    let begins_program = share.waiting.is_empty();
+    if begins_program && share.waiting_to_begin.is_empty() {
         share.retry_us = 0;
         return;
     }
     let is_owned = share.replicated.is_none();
-    let ready_us = share.ready_in_us(begins, now_us).map(|us| now_us + us);
+    let ready_us = share
+        .ready_in_us(begins_program, now_us)
+        .map(|us| now_us + us);
     if let Some(ready_us) = ready_us
         && (share.refill_due_us == 0 || ready_us < share.refill_due_us)
     {
@@ -166,13 +168,13 @@
     }
     log_no_room(tick, id, &account);
     let call = tick.tables.calls.get(&id);
-    let begins = call.is_some_and(|call| call.begins_program);
+    let begins_program = call.is_some_and(|call| call.begins_program);
     let is_relayed = call.is_some_and(|call| call.relay.is_some());
     let retry_after_ms = tick
         .tables
         .shares
         .get(&account)
-        .and_then(|share| share.ready_in_us(begins, tick.now_us))
+        .and_then(|share| share.ready_in_us(begins_program, tick.now_us))
         .map_or(DEFAULT_RETRY_AFTER_MS, |us| us.div_ceil(1_000).max(1));
     let retry_after_ms = if is_relayed {
         retry_after_ms.max(MIN_RELAY_RETRY_AFTER_MS)
@@ -186,7 +188,7 @@
         Execution::NotRun,
         Some(retry_after_ms),
     );
-    remove_ended_calls(tick, &account, begins);
+    remove_ended_calls(tick, &account, begins_program);
 }
 
 /// Logs the state of the bucket for a call that is refused as over its account's rate.
@@ -230,23 +232,24 @@
         return None;
     }
     let wait_us = tick.settings.rate_wait_ms * 1_000;
-    let last_us = tick.tables.calls.get(&id)?.arrived_us + wait_us + wait_us / REFILL_WAIT_DIVISOR;
+    let latest_us =
+        tick.tables.calls.get(&id)?.arrived_us + wait_us + wait_us / REFILL_WAIT_DIVISOR;
     let ready_us = tick.now_us + share.ready_in_us(false, tick.now_us)?.max(1);
-    (ready_us <= last_us).then_some(ready_us)
+    (ready_us <= latest_us).then_some(ready_us)
 }
 
 /// Removes refused and abandoned calls from the front of a queue.
-fn remove_ended_calls(tick: &mut Tick<'_>, account: &AccountName, begins: bool) {
+fn remove_ended_calls(tick: &mut Tick<'_>, account: &AccountName, begins_program: bool) {
     let tables = &mut *tick.tables;
     let Some(share) = tables.shares.get_mut(account) else {
         return;
     };
-    while let Some(id) = share.queue_mut(begins).front() {
+    while let Some(id) = share.queue_mut(begins_program).front() {
         let call = tables.calls.get(id);
         if call.is_some_and(|call| call.stage == Stage::Rate) {
             return;
         }
-        share.queue_mut(begins).pop_front();
+        share.queue_mut(begins_program).pop_front();
     }
 }
 
--- a/crates/core/src/systems/rates/holder.rs
+++ b/crates/core/src/systems/rates/holder.rs
@@ -70,18 +70,18 @@
 /// Sends a demand for a grant and schedules the next one.
 pub(super) fn request_grant(tick: &mut Tick<'_>, account: &AccountName) {
     let now_us = tick.now_us;
-    let renew_us = tick.settings.grant_ms * 1_000 / RENEWALS_PER_GRANT;
+    let renewal_us = tick.settings.grant_ms * 1_000 / RENEWALS_PER_GRANT;
     send_demand(tick, account, DemandKind::Ask);
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
     share.last_ask_us = now_us;
     share.demand_due_us = 0;
-    let mut due_us = now_us + renew_us;
+    let mut due_us = now_us + renewal_us;
     if share.waiting.is_empty() {
         share.retry_us = 0;
     } else {
-        due_us = now_us + share.retry_us.clamp(FIRST_RETRY_US, renew_us);
+        due_us = now_us + share.retry_us.clamp(FIRST_RETRY_US, renewal_us);
         share.retry_us = (share.retry_us * 2).clamp(FIRST_RETRY_US, MAX_RETRY_US);
     }
     schedule_demand(tick, account, due_us);
@@ -193,20 +193,20 @@
     if !is_current || !is_newer(share, grant) {
         return;
     }
-    let before = share.bucket;
+    let previous = share.bucket;
     let deposit_ncalls = deposit(share, grant, now_us);
     calls::serve_waiting(tick, &grant.account);
-    let returned_ncalls = apply_burst(tick, grant, before.burst_ncalls);
+    let returned_ncalls = apply_burst(tick, grant, previous.burst_ncalls);
     // The owner counts the larger of both grants as lent until the smaller one is confirmed.
-    let is_smaller = grant.rate_mcalls_per_s < before.rate_mcalls_per_s
-        || grant.burst_ncalls < before.burst_ncalls + deposit_ncalls;
+    let is_smaller = grant.rate_mcalls_per_s < previous.rate_mcalls_per_s
+        || grant.burst_ncalls < previous.burst_ncalls + deposit_ncalls;
     if is_smaller || returned_ncalls > 0 {
         send_demand(tick, &grant.account, DemandKind::Confirm);
     }
     calls::schedule_refill(tick, &grant.account);
 }
 
-/// Returns whether a grant is newer than the one in force.
+/// Returns whether a grant follows the one in force, or opens a share that isn't outdated.
 fn is_newer(share: &Share, grant: &Grant) -> bool {
     match &share.held {
         Some(held) if held.id == grant.id => grant.seq > held.applied_seq,
@@ -218,8 +218,8 @@
 ///
 /// The burst is not enforced before [`apply_burst`], so that waiting calls can use all of them.
 fn deposit(share: &mut Share, grant: &Grant, now_us: u64) -> u64 {
-    let is_same = share.held.is_some_and(|held| held.id == grant.id);
-    if !is_same {
+    let is_same_share = share.held.is_some_and(|held| held.id == grant.id);
+    if !is_same_share {
         share.drop_grant();
         share.floor_seq = grant.answers_seq;
     }
@@ -245,7 +245,7 @@
 }
 
 /// Applies the burst of a grant; returns how many calls go back as excess or recalled.
-fn apply_burst(tick: &mut Tick<'_>, grant: &Grant, before_burst_ncalls: u64) -> u64 {
+fn apply_burst(tick: &mut Tick<'_>, grant: &Grant, previous_burst_ncalls: u64) -> u64 {
     let tables = &mut *tick.tables;
     let limits = tables
         .accounts
@@ -260,39 +260,39 @@
     let bucket = &mut share.bucket;
     bucket.rate_mcalls_per_s = grant.rate_mcalls_per_s.min(limits.rate_mcalls_per_s);
     bucket.burst_ncalls = grant.burst_ncalls.min(limits.burst_ncalls);
-    // A series of shrinking grants must not take away the fraction that a waiting call has gained.
-    let kept_ncalls = if share.waiting.is_empty() {
+    // A series of shrinking grants must not take away what has accumulated for a waiting call.
+    let new_level_ncalls = if share.waiting.is_empty() {
         scale_level(
             bucket.level_ncalls,
-            before_burst_ncalls,
+            previous_burst_ncalls,
             bucket.burst_ncalls,
         )
     } else {
         bucket.level_ncalls.min(bucket.burst_ncalls)
     };
-    let over_ncalls = bucket.level_ncalls - kept_ncalls;
-    bucket.level_ncalls -= over_ncalls;
-    let asked_ncalls = grant.recalled_ncalls.saturating_sub(held.recalled_ncalls);
-    let recalled_ncalls = asked_ncalls
-        .saturating_sub(over_ncalls)
+    let excess_ncalls = bucket.level_ncalls - new_level_ncalls;
+    bucket.level_ncalls -= excess_ncalls;
+    let newly_recalled_ncalls = grant.recalled_ncalls.saturating_sub(held.recalled_ncalls);
+    let recalled_ncalls = newly_recalled_ncalls
+        .saturating_sub(excess_ncalls)
         .min(bucket.level_ncalls);
     bucket.level_ncalls -= recalled_ncalls;
-    held.recalled_ncalls += asked_ncalls;
-    held.returned_ncalls += over_ncalls + recalled_ncalls;
-    over_ncalls + recalled_ncalls
+    held.recalled_ncalls += newly_recalled_ncalls;
+    held.returned_ncalls += excess_ncalls + recalled_ncalls;
+    excess_ncalls + recalled_ncalls
 }
 
 /// Returns the level of a bucket whose burst changes.
 ///
 /// A bucket that shrinks keeps its level in proportion: if it were full, the calls that its rate
 /// adds would be lost.
-fn scale_level(level_ncalls: u64, before_ncalls: u64, burst_ncalls: u64) -> u64 {
-    if burst_ncalls >= before_ncalls {
+fn scale_level(level_ncalls: u64, previous_burst_ncalls: u64, burst_ncalls: u64) -> u64 {
+    if burst_ncalls >= previous_burst_ncalls {
         return level_ncalls.min(burst_ncalls);
     }
-    let level_ncalls = u128::from(level_ncalls.min(before_ncalls));
-    let kept = level_ncalls * u128::from(burst_ncalls) / u128::from(before_ncalls);
-    u64::try_from(kept).unwrap_or(burst_ncalls)
+    let level_ncalls = u128::from(level_ncalls.min(previous_burst_ncalls));
+    let scaled_ncalls = level_ncalls * u128::from(burst_ncalls) / u128::from(previous_burst_ncalls);
+    u64::try_from(scaled_ncalls).unwrap_or(burst_ncalls)
 }
 
 /// Schedules the next demand unless one is scheduled for an earlier time.
--- a/crates/core/src/systems/rates/mod.rs
+++ b/crates/core/src/systems/rates/mod.rs
@@ -3,16 +3,16 @@
 //! The owner of an account lends shares of its rate and burst to the VMs that receive its calls.
 //! `calls` admits calls from this VM's share, `holder` requests shares and applies grants,
 //! `owner` lends shares, `allocation` computes their size, and `takeover` handles a change of
-//! owner. In a fleet without owners, `pooled` keeps a copy of every bucket on each VM instead.
+//! owner. In a fleet without owners, `replicated` keeps a copy of every bucket on each VM instead.
 
 mod allocation;
 mod calls;
 mod holder;
 mod owner;
-mod pooled;
+mod replicated;
 mod takeover;
 
-pub(crate) use pooled::{debit_remote_calls, refund_call, rescale_buckets};
+pub(crate) use replicated::{debit_remote_calls, refund_call, rescale_buckets};
 
 use super::{Sender, Tick};
 use crate::config::Coordination;
@@ -52,7 +52,7 @@
             holder::apply_limits(tick, &account);
             owner::apply_limits(tick, &account);
         } else {
-            pooled::apply_limits(tick, &account);
+            replicated::apply_limits(tick, &account);
         }
     }
     for (sender, message) in work.messages {
--- a/crates/core/src/systems/rates/owner.rs
+++ b/crates/core/src/systems/rates/owner.rs
@@ -25,7 +25,7 @@
 /// Pause before an expiry that waits for a confirmed lease is checked again.
 pub(super) const LEASE_RETRY_US: u64 = 100_000;
 
-/// Holders, mostly those to which a grant is sent.
+/// A short list of holders.
 type HolderList = SmallVec<[Holder; 8]>;
 
 /// Returns whether this VM may act as owner in an epoch: its lease is valid and the view current.
@@ -75,16 +75,16 @@
         row.remove(&holder, now_us);
     }
     row.deposit(returned_ncalls);
-    let mut granted = HolderList::new();
+    let mut recipients = HolderList::new();
     match demand.kind {
-        DemandKind::Ask => answer_ask(row, &holder, now_us, &mut granted),
+        DemandKind::Ask => answer_ask(row, &holder, now_us, &mut recipients),
         DemandKind::Confirm => {
-            recall_spare(row, &holder, now_us, &mut granted);
+            recall_spare(row, &holder, now_us, &mut recipients);
         }
         DemandKind::Release => {}
     }
-    serve_queue(row, now_us, &mut granted);
-    send_grants(tick, &demand.account, granted);
+    serve_queue(row, now_us, &mut recipients);
+    send_grants(tick, &demand.account, recipients);
     schedule_queue(tick, &demand.account);
 }
 
@@ -112,12 +112,12 @@
         if demand.seq < loan.demand_seq {
             return DemandStatus::Stale;
         }
-        let is_same = match &demand.held {
+        let is_same_share = match &demand.held {
             Some(held) => held.id == loan.id,
             // The holder may still apply a grant that is in flight.
             None => demand.floor_seq <= loan.opened_seq,
         };
-        if is_same {
+        if is_same_share {
             return DemandStatus::Update;
         }
     }
@@ -183,25 +183,25 @@
 }
 
 /// Issues a grant for a demand, and recalls calls from other holders if too little is free.
-fn answer_ask(row: &mut OwnedAccount, holder: &Holder, now_us: u64, granted: &mut HolderList) {
-    if recall_spare(row, holder, now_us, granted) {
+fn answer_ask(row: &mut OwnedAccount, holder: &Holder, now_us: u64, recipients: &mut HolderList) {
+    if recall_spare(row, holder, now_us, recipients) {
         return;
     }
     issue_grant(row, holder, 0, now_us);
-    granted.push(holder.clone());
+    recipients.push(holder.clone());
     let Some(loan) = row.loans.get(holder) else {
         return;
     };
     if loan.waiting_calls == 0 {
         return;
     }
-    let need_ncalls = loan.waiting_calls.saturating_mul(NCALLS_PER_CALL);
+    let needed_ncalls = loan.waiting_calls.saturating_mul(NCALLS_PER_CALL);
     let target = allocation::target_limits(row, loan);
     let is_behind = loan.granted.rate_mcalls_per_s < target.rate_mcalls_per_s / 4 * 3;
     enqueue(row, holder, now_us);
-    recall_from_others(row, holder, need_ncalls, now_us, granted);
+    recall_from_others(row, holder, needed_ncalls, now_us, recipients);
     if is_behind {
-        shrink_largest(row, holder, now_us, granted);
+        shrink_largest(row, holder, now_us, recipients);
     }
 }
 
@@ -210,7 +210,7 @@
     row: &mut OwnedAccount,
     holder: &Holder,
     now_us: u64,
-    granted: &mut HolderList,
+    recipients: &mut HolderList,
 ) -> bool {
     // Until smaller grants are confirmed, the reserve has no room for calls that come back:
     // they would be lost, and a holder on this VM would be asked in an endless loop.
@@ -221,16 +221,16 @@
     let Some(first) = first else {
         return false;
     };
-    let need_ncalls = first.waiting_calls.saturating_mul(NCALLS_PER_CALL);
+    let needed_ncalls = first.waiting_calls.saturating_mul(NCALLS_PER_CALL);
     let Some(loan) = row.loans.get(holder).filter(|loan| loan.waiting_calls == 0) else {
         return false;
     };
-    let ncalls = loan.estimate_level_ncalls(now_us).min(need_ncalls);
+    let ncalls = loan.estimate_level_ncalls(now_us).min(needed_ncalls);
     if ncalls < MIN_RECALL_NCALLS {
         return false;
     }
     issue_grant(row, holder, ncalls, now_us);
-    granted.push(holder.clone());
+    recipients.push(holder.clone());
     true
 }
 
@@ -247,16 +247,16 @@
 fn recall_from_others(
     row: &mut OwnedAccount,
     holder: &Holder,
-    mut need_ncalls: u64,
+    mut needed_ncalls: u64,
     now_us: u64,
-    granted: &mut HolderList,
+    recipients: &mut HolderList,
 ) {
     // As in `recall_spare`, calls that come back now would be lost.
     if row.is_over_limits() {
         return;
     }
-    let first = row.by_filling.iter().map(|(_, other)| other);
-    let others: HolderList = first
+    let by_filling = row.by_filling.iter().map(|(_, other)| other);
+    let others: HolderList = by_filling
         .filter(|&other| other != holder)
         .take(MAX_RECALLS)
         .cloned()
@@ -267,19 +267,24 @@
             .get(&other)
             .filter(|loan| loan.waiting_calls == 0)
             .map_or(0, |loan| loan.estimate_level_ncalls(now_us));
-        let ncalls = level_ncalls.min(need_ncalls);
+        let ncalls = level_ncalls.min(needed_ncalls);
         if ncalls >= MIN_RECALL_NCALLS {
             issue_grant(row, &other, ncalls, now_us);
-            granted.push(other);
-            need_ncalls -= ncalls;
+            recipients.push(other);
+            needed_ncalls -= ncalls;
         }
     }
 }
 
 /// Shrinks the shares that are largest in relation to their holders' weights.
-fn shrink_largest(row: &mut OwnedAccount, holder: &Holder, now_us: u64, granted: &mut HolderList) {
-    let last = row.by_service_level.iter().rev().map(|(_, other)| other);
-    let others: HolderList = last
+fn shrink_largest(
+    row: &mut OwnedAccount,
+    holder: &Holder,
+    now_us: u64,
+    recipients: &mut HolderList,
+) {
+    let by_service = row.by_service_level.iter().rev().map(|(_, other)| other);
+    let others: HolderList = by_service
         .filter(|&other| other != holder)
         .take(MAX_RECALLS)
         .cloned()
@@ -293,12 +298,12 @@
             return;
         }
         issue_grant(row, &other, 0, now_us);
-        granted.push(other);
+        recipients.push(other);
     }
 }
 
 /// Issues grants from the reserve to holders in the queue.
-pub(super) fn serve_queue(row: &mut OwnedAccount, now_us: u64, granted: &mut HolderList) {
+pub(super) fn serve_queue(row: &mut OwnedAccount, now_us: u64, recipients: &mut HolderList) {
     for _ in 0..MAX_SERVED_HOLDERS {
         let Some(holder) = row.queue.front().cloned() else {
             return;
@@ -310,14 +315,14 @@
         };
         let level_ncalls = loan.estimate_level_ncalls(now_us) + row.reserve.level_ncalls;
         let target = allocation::target_limits(row, loan);
-        let has_rate = row.reserve.rate_mcalls_per_s > target.rate_mcalls_per_s / 4
+        let has_free_rate = row.reserve.rate_mcalls_per_s > target.rate_mcalls_per_s / 4
             && loan.granted.rate_mcalls_per_s < target.rate_mcalls_per_s / 4 * 3;
-        if level_ncalls < NCALLS_PER_CALL && !has_rate {
+        if level_ncalls < NCALLS_PER_CALL && !has_free_rate {
             return;
         }
         dequeue(row, &holder, now_us);
         issue_grant(row, &holder, 0, now_us);
-        granted.push(holder.clone());
+        recipients.push(holder.clone());
         let loan = row.loans.get(&holder);
         if loan.is_some_and(|loan| loan.waiting_calls > 0) {
             enqueue(row, &holder, now_us);
@@ -356,7 +361,7 @@
     holders: impl IntoIterator<Item = Holder>,
 ) {
     let valid_ms = tick.settings.grant_ms;
-    let margin_us = CoreSettings::with_clock_margin_us(valid_ms);
+    let validity_us = CoreSettings::with_clock_margin_us(valid_ms);
     for holder in holders {
         let epoch = tick.tables.view.epoch;
         let Some(row) = tick.tables.owned_accounts.get_mut(account) else {
@@ -366,7 +371,7 @@
         let Some(loan) = row.loans.get_mut(&holder) else {
             continue;
         };
-        loan.expires_us = loan.demand_arrived_us + margin_us;
+        loan.expires_us = loan.demand_arrived_us + validity_us;
         let grant = Grant {
             account: account.clone(),
             epoch,
@@ -416,9 +421,9 @@
         return;
     }
     row.reserve.refill(now_us);
-    let mut granted = HolderList::new();
-    serve_queue(row, now_us, &mut granted);
-    send_grants(tick, account, granted);
+    let mut recipients = HolderList::new();
+    serve_queue(row, now_us, &mut recipients);
+    send_grants(tick, account, recipients);
     schedule_queue(tick, account);
 }
 
--- a/crates/core/src/systems/rates/pooled.rs
+++ b/crates/core/src/systems/rates/replicated.rs
@@ -24,7 +24,7 @@
 const MAX_INITIAL_LEVEL_US: u64 = 500_000;
 
 /// Burst of a VM's own part of the rate: what that part adds in this time, at least one call.
-const PACE_BURST_US: u64 = 250_000;
+const OWN_PART_BURST_US: u64 = 250_000;
 
 /// Applies an account's published limits to this VM's copy of its bucket.
 pub(super) fn apply_limits(tick: &mut Tick<'_>, account: &AccountName) {
@@ -37,7 +37,7 @@
     else {
         return;
     };
-    let (heard, known) = tick.tables.peering.usable_fraction();
+    let (reachable_vms, known_vms) = tick.tables.peering.usable_fraction();
     // An account of the first configuration that this VM reads may have used its burst on other
     // VMs already; one that is published later is new to all VMs.
     let starts_full = tick.settings.is_first_start || tick.tables.fleet.revision.0 > 0;
@@ -46,8 +46,8 @@
     let share = shares.get_or_insert_with(account, Share::default);
     share.bucket.refill(now_us);
     let limits = spread_over_window(limits, tick.settings.rate_window_ms);
-    let rate_mcalls_per_s = limits.rate_mcalls_per_s * heard / known;
-    let burst_ncalls = limits.burst_ncalls / known * heard;
+    let rate_mcalls_per_s = limits.rate_mcalls_per_s * reachable_vms / known_vms;
+    let burst_ncalls = limits.burst_ncalls / known_vms * reachable_vms;
     let level_ncalls = match is_new {
         true if starts_full => burst_ncalls,
         true => {
@@ -61,18 +61,18 @@
         level_ncalls,
         updated_us: now_us,
     };
-    let before = share.replicated.unwrap_or_default();
-    let pace_rate = rate_mcalls_per_s / heard.max(1);
-    let pace_burst = (pace_rate * PACE_BURST_US).max(NCALLS_PER_CALL);
+    let previous = share.replicated.unwrap_or_default();
+    let own_rate = rate_mcalls_per_s / reachable_vms.max(1);
+    let own_burst = (own_rate * OWN_PART_BURST_US).max(NCALLS_PER_CALL);
     share.replicated = Some(ReplicatedBucket {
         reserve_ncalls: burst_ncalls / RESERVE_DIVISOR,
         begin_reserve_ncalls: burst_ncalls * MIN_BEGIN_LEVEL_PERCENT / 100,
-        debt_ncalls: before.debt_ncalls,
+        debt_ncalls: previous.debt_ncalls,
         own_part: Bucket {
-            rate_mcalls_per_s: pace_rate,
-            burst_ncalls: pace_burst,
-            level_ncalls: before.own_part.level_ncalls.min(pace_burst),
-            updated_us: before.own_part.updated_us.max(now_us),
+            rate_mcalls_per_s: own_rate,
+            burst_ncalls: own_burst,
+            level_ncalls: previous.own_part.level_ncalls.min(own_burst),
+            updated_us: previous.own_part.updated_us.max(now_us),
         },
     });
 }
--- a/crates/core/src/systems/rates/takeover.rs
+++ b/crates/core/src/systems/rates/takeover.rs
@@ -34,13 +34,13 @@
         .tables
         .accounts
         .iter()
-        .map(|(k, _)| k.clone())
+        .map(|(name, _)| name.clone())
         .collect();
     let is_next = previous.next() == epoch;
-    let mut handed = HashMap::<VmName, Vec<Unlent>>::new();
+    let mut reports = HashMap::<VmName, Vec<Unlent>>::new();
     for account in &accounts {
         if let Some((successor, unlent)) = remove_row(tick, account, is_next) {
-            handed.entry(successor).or_default().push(unlent);
+            reports.entry(successor).or_default().push(unlent);
         }
         ensure_row(tick, account);
         continue_takeover(tick, account);
@@ -49,9 +49,9 @@
         report_share(tick, account);
     }
     // Sorted by name, so that the same inputs give the same outputs.
-    let mut handed: Vec<_> = handed.into_iter().collect();
-    handed.sort_by(|a, b| a.0.cmp(&b.0));
-    for (successor, unlent) in handed {
+    let mut reports: Vec<_> = reports.into_iter().collect();
+    reports.sort_by(|a, b| a.0.cmp(&b.0));
+    for (successor, unlent) in reports {
         tick.send(&successor, RatesMessage::ShareReport { epoch, unlent });
     }
     start_queries(tick);
@@ -66,12 +66,12 @@
     is_next: bool,
 ) -> Option<(VmName, Unlent)> {
     tick.tables.owned_accounts.get(account)?;
-    let owns = is_owner(tick, account);
-    if owns && is_next {
+    let is_still_owner = is_owner(tick, account);
+    if is_still_owner && is_next {
         return None;
     }
     let mut row = tick.tables.owned_accounts.remove(account)?;
-    if owns || !is_next {
+    if is_still_owner || !is_next {
         return None;
     }
     row.reserve.refill(tick.now_us);
@@ -144,9 +144,9 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    let before = share.owner.take().map(|(_, owner)| owner);
+    let previous_owner = share.owner.take().map(|(_, owner)| owner);
     let is_in_use = share.held.is_some() || !share.waiting.is_empty();
-    if is_in_use && holder::owner_of(tick, account) != before {
+    if is_in_use && holder::owner_of(tick, account) != previous_owner {
         holder::request_grant(tick, account);
     }
 }
@@ -197,8 +197,8 @@
             holder::request_grant(tick, account);
         }
     }
-    let known = &tick.tables.ownership.unlent;
-    let unlent = accounts.iter().filter_map(|account| known.get(account));
+    let recorded = &tick.tables.ownership.unlent;
+    let unlent = accounts.iter().filter_map(|account| recorded.get(account));
     let unlent = unlent.cloned().collect();
     tick.send(&sender.vm, RatesMessage::ShareReport { epoch, unlent });
 }
@@ -246,9 +246,9 @@
         takeover.adopted.insert(held.id);
     }
     add_known_limits(tick, &demand.account, limits);
-    let margin_us = CoreSettings::with_clock_margin_us(tick.settings.grant_ms);
+    let validity_us = CoreSettings::with_clock_margin_us(tick.settings.grant_ms);
     let loan = Loan {
-        expires_us: tick.now_us + margin_us,
+        expires_us: tick.now_us + validity_us,
         grant_seq: held.applied_seq,
         granted: limits,
         open_grants: smallvec![(held.applied_seq, limits)],
