--- a/crates/core/src/systems/admission/mod.rs
+++ b/crates/core/src/systems/admission/mod.rs
@@ -404,7 +404,7 @@
     tick.log(Decision::Refused { call, kind, ran });
 }
 
-/// Refuses all open calls because the process stops.
+/// Refuses all calls but those that are settling, because the process stops.
 ///
 /// A call that runs on an upstream is charged by what is known of it.
 fn refuse_all(tick: &mut Tick<'_>) {
--- a/crates/core/src/systems/rates/calls.rs
+++ b/crates/core/src/systems/rates/calls.rs
@@ -199,7 +199,9 @@
     };
     let mut bucket = share.bucket;
     bucket.refill(now_us);
-    let debt_ncalls = share.replicated.map_or(0, |pooled| pooled.debt_ncalls);
+    let debt_ncalls = share
+        .replicated
+        .map_or(0, |replicated| replicated.debt_ncalls);
     tick.log(Decision::NoRoom {
         call,
         account: account.clone(),
--- a/crates/core/src/systems/rates/replicated.rs
+++ b/crates/core/src/systems/rates/replicated.rs
@@ -99,9 +99,9 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    if let Some(pooled) = &mut share.replicated {
-        pooled.repay_debt(&mut share.bucket, now_us);
-        pooled.debit(&mut share.bucket, ncalls);
+    if let Some(replicated) = &mut share.replicated {
+        replicated.repay_debt(&mut share.bucket, now_us);
+        replicated.debit(&mut share.bucket, ncalls);
     }
 }
 
@@ -111,13 +111,13 @@
     let Some(share) = tick.tables.shares.get_mut(account) else {
         return;
     };
-    let Some(pooled) = &mut share.replicated else {
+    let Some(replicated) = &mut share.replicated else {
         return;
     };
     let bucket = &mut share.bucket;
     bucket.refill(now_us);
     bucket.level_ncalls = (bucket.level_ncalls + NCALLS_PER_CALL).min(bucket.burst_ncalls);
-    pooled.repay_debt(bucket, now_us);
+    replicated.repay_debt(bucket, now_us);
     tick.tables.peering.uncount_admitted(account);
 }
 
