--- a/crates/core/src/tables/limit.rs
+++ b/crates/core/src/tables/limit.rs
@@ -1,7 +1,7 @@
 //! Adaptive limit of the concurrent calls on an upstream.
 
-/// Load reports that are averaged before the limit changes, because reports lag and the token
-/// rate of a single one varies too much.
+/// Load reports that are averaged before the limit changes, because reports lag and a single one
+/// says little about the token rate.
 const REPORTS_PER_STEP: u32 = 4;
 
 /// Time after a change during which reports are ignored, because they lag.
