--- a/crates/relay/src/adapter.rs
+++ b/crates/relay/src/adapter.rs
@@ -1,4 +1,4 @@
-//! What a platform adapter has to provide.
+//! The traits that a platform adapter implements, and their types.
 
 use std::sync::Arc;
 
@@ -11,10 +11,10 @@
 };
 use knapweeddale_store::{ObjectApi, StoreError};
 
-/// What the head of a caller's request states.
+/// The decoded head of a caller's request.
 #[derive(Debug, Clone, Default)]
 pub struct CallHead {
-    /// The caller's identity of the request; each attempt of a caller has one of its own.
+    /// The caller's ID of the request, which differs for each attempt of the caller.
     pub request_id: Option<Arc<str>>,
     /// The host, in lower case and without a port.
     pub host: Arc<str>,
@@ -22,104 +22,103 @@
     pub path: Arc<str>,
     /// The caller's key, reduced to what the core needs.
     pub key: Option<PresentedKey>,
-    /// How long the caller waits.
+    /// How long the caller waits, if it states that.
     pub timeout_ms: Option<u64>,
-    /// The model.
+    /// The requested model, if one is named.
     pub model: Option<ModelName>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Highest number of tokens of the response.
+    /// Maximum number of tokens in the response.
     pub max_tokens: u64,
-    /// The program that the request belongs to.
+    /// The program that the request belongs to, if any.
     pub program: Option<ProgramName>,
-    /// The line of turns within the program.
+    /// Identifies the sequence of turns within the program.
     pub line: Option<u64>,
-    /// Tokens that all turns of the program may generate.
+    /// Token budget for all turns of the program together.
     pub budget_tokens: Option<u64>,
-    /// The last event that the caller has, if it resumes a stream.
+    /// ID of the last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<u64>,
 }
 
-/// What the system adds to a request for an upstream.
+/// Values of the headers that are added to a request for an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Forward<'a> {
-    /// Time that the caller still waits.
+    /// Time left until the caller's timeout.
     pub time_left_ms: u64,
     /// The upstream that is expected at the address.
     pub upstream: &'a UpstreamName,
     /// The account that is charged.
     pub account: Option<&'a AccountName>,
-    /// The last event that the caller has, if a stream goes on.
+    /// ID of the last event that the caller received, if a stream is resumed.
     pub last_event_id: Option<u64>,
 }
 
-/// What the head of an upstream's response states.
+/// The decoded head of an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The request that is answered.
+    /// ID of the request that the response belongs to.
     pub request_id: Option<Arc<str>>,
     /// Whether the upstream states that it did not run the request.
     pub is_not_run: bool,
-    /// Whether the response bears the upstream's signature.
+    /// Whether the response carries the upstream's signature.
     pub is_signed: bool,
-    /// How long the upstream keeps an idle connection open.
+    /// How long the upstream keeps an idle connection open, if it states that.
     pub keep_alive_s: Option<u64>,
 }
 
-/// A response that no upstream gave.
+/// The head of a response that this VM generates itself.
 #[derive(Debug, Clone)]
 pub struct OwnAnswer {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// The HTTP headers.
     pub headers: HeaderMap,
 }
 
-/// A request whose head cannot be used.
+/// Error for a request with an invalid header.
 #[derive(Debug, Clone, Display, Error, PartialEq, Eq)]
 #[display("the header {header:?} cannot be used ({reason}); correct it and send the request again")]
 pub struct BadRequest {
-    /// The header.
+    /// Name of the header.
     pub header: &'static str,
-    /// What is wrong.
+    /// Why the header is invalid.
     pub reason: &'static str,
 }
 
-/// How callers and upstreams speak: header names, statuses and what they mean.
+/// Encodes and decodes the headers and statuses of callers and upstreams.
 pub trait Dialect: std::fmt::Debug + Clone + Send + Sync + 'static {
-    /// Reads the head of a caller's request.
+    /// Decodes the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Fails if a header that matters cannot be read.
+    /// Fails if a header that it decodes is invalid.
     fn decode(&self, head: &Parts) -> Result<CallHead, BadRequest>;
 
-    /// Writes the headers of the request for an upstream.
+    /// Builds the headers of the request for an upstream.
     ///
-    /// Headers that concern one connection, the length of the body and keys of callers are left
-    /// out.
+    /// Hop-by-hop headers, the length of the body and keys of callers are omitted.
     fn forward(&self, head: &Parts, forward: Forward<'_>) -> HeaderMap;
 
-    /// Reads the head of an upstream's response.
+    /// Decodes the head of an upstream's response.
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
-    /// Writes the response to a call that no upstream answered.
+    /// Builds the response for a refused call.
     fn refuse(&self, refusal: &Refusal) -> OwnAnswer;
 
-    /// Returns whether a path asks whether this VM may get calls.
+    /// Returns whether a path is that of the load balancer's readiness check.
     fn is_readiness(&self, path: &str) -> bool;
 }
 
-/// A request of the operator to empty a VM with a disk.
+/// An operator's request to retire a VM with a disk, which hands its records over to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Retirement {
-    /// The VM.
+    /// The VM to retire.
     pub vm: VmName,
-    /// Whether it has been reported as done.
+    /// Whether the retirement has been reported as complete.
     pub is_done: bool,
 }
 
-/// The platform's store: the system's own objects, and what the platform keeps there.
+/// The platform's store, with the scheduler's own objects and those of the platform.
 ///
 /// Reads must not be answered by a lagging replica.
 pub trait FleetStore: ObjectApi {
@@ -130,21 +129,21 @@
     /// Fails if the store does not answer or the configuration cannot be read.
     fn fleet(&self) -> impl Future<Output = Result<Option<Arc<FleetConfig>>, StoreError>> + Send;
 
-    /// Reads the list that upstreams keep of themselves.
+    /// Reads the list in which upstreams register themselves.
     ///
     /// # Errors
     ///
     /// Fails if the store does not answer.
     fn upstreams(&self) -> impl Future<Output = Result<Arc<UpstreamList>, StoreError>> + Send;
 
-    /// Lists the requests to empty VMs.
+    /// Lists the operator's requests to retire VMs.
     ///
     /// # Errors
     ///
     /// Fails if the store does not answer.
     fn retirements(&self) -> impl Future<Output = Result<Vec<Retirement>, StoreError>> + Send;
 
-    /// Reports how far the emptying of a VM has come.
+    /// Reports that the retirement of a VM is in progress or complete.
     ///
     /// # Errors
     ///
--- a/crates/relay/src/charges/list.rs
+++ b/crates/relay/src/charges/list.rs
@@ -1,4 +1,4 @@
-//! Lists the records of an account over the files of VMs with a disk.
+//! Lists the charge records of an account from the files of VMs with a disk.
 
 use std::collections::HashSet;
 use std::io;
@@ -9,22 +9,22 @@
 
 use super::ChargeRecord;
 
-/// A file of records cannot be read.
+/// Error when a file of charge records cannot be read.
 #[derive(Debug, Display, Error)]
 #[display("the records in {file} cannot be read ({source}); give the path of a charges.jsonl")]
 pub struct ListError {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// The error of the system.
+    /// The underlying I/O error.
     pub source: io::Error,
 }
 
-/// The records of an account over a span of time.
+/// The charge records of an account within a range of time.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ChargeList {
-    /// The records in the order in which their requests ended, each once.
+    /// The records without duplicates, sorted by the time at which their requests ended.
     pub records: Vec<ChargeRecord>,
-    /// Lines that are no record, as a power loss leaves them.
+    /// Number of lines that are not a complete record, as a power loss leaves them.
     pub torn_lines: usize,
 }
 
@@ -35,11 +35,11 @@
     }
 }
 
-/// Reads files of records and returns those of an account that ended within a span of Unix time in
+/// Reads the records of an account whose requests ended within a range of Unix time in
 /// milliseconds.
 ///
-/// VMs that were emptied hand their records over, so several files may hold a record; it counts
-/// once.
+/// A retired VM copies its records to another VM, so a record may be in several files; it is
+/// listed once.
 ///
 /// # Errors
 ///
--- a/crates/relay/src/charges/mod.rs
+++ b/crates/relay/src/charges/mod.rs
@@ -1,8 +1,8 @@
-//! Charge records and their way to the VMs with a disk.
+//! Charge records and their transfer to the VMs with a disk.
 //!
-//! One record is made for each request that ran, and one that is not billed for each request of
-//! which only the upstream knows whether it ran. Records wait in memory and go to a VM with a
-//! disk in batches; a batch counts as kept when that VM has synced it.
+//! Each request that ran has one record. A request of which only the upstream knows whether it
+//! ran has one too, which is not billed. Records are queued in memory and sent in batches to a VM
+//! with a disk; a batch is stored once that VM has synced it to its disk.
 
 mod list;
 mod rpc;
@@ -19,12 +19,12 @@
 use crate::control::account_label;
 use crate::wall_clock::unix_ms;
 
-/// A request that ran, or may have run.
+/// The stored record of a request that ran or may have run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChargeRecord {
-    /// The caller's identity of the request.
+    /// The caller's ID of the request.
     pub request: String,
-    /// The attempt, which names the VM's start and the call.
+    /// The ID of the attempt, which contains the VM's incarnation and the call.
     pub attempt: String,
     /// The account; `-` on routes open to all.
     pub account: String,
@@ -32,20 +32,20 @@
     pub program: Option<String>,
     /// The upstream that ran the request.
     pub upstream: String,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens passed to the caller.
+    /// Number of generated tokens passed to the caller.
     pub answer_tokens: u64,
-    /// How the request ended.
+    /// The label of the request's [`ChargeOutcome`].
     pub outcome: String,
-    /// When it ended, in milliseconds of Unix time on the clock of the VM that relayed it; 0 in
-    /// records of earlier versions.
+    /// Unix time in milliseconds at which the request ended, on the clock of the VM that relayed
+    /// it; 0 in records of earlier versions.
     #[serde(default)]
     pub ended_ms: u64,
 }
 
 impl ChargeRecord {
-    /// Makes the record of a charge.
+    /// Creates the record of a charge, with the current time as the end of its request.
     pub(crate) fn new(request: &str, charge: &Charge) -> Self {
         let program = charge.program.as_ref();
         Self {
--- a/crates/relay/src/charges/rpc.rs
+++ b/crates/relay/src/charges/rpc.rs
@@ -1,4 +1,4 @@
-//! The exchange of charge records between VMs.
+//! The RPC interface that stores charge records on VMs with a disk.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 
 use super::ChargeRecord;
 
-/// Records of one VM, numbered so that a repeated batch is kept once.
+/// A batch of records of one VM, numbered so that a repeated batch is stored once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ChargeBatch {
-    /// The VM with the start of its process.
+    /// The VM and its incarnation, or `emptied VM` for the records of a retired VM.
     pub sender: String,
-    /// Counts the batches of the sender.
+    /// Sequence number of the batch among those of the sender, from 1.
     pub number: u64,
-    /// The records.
+    /// The records, oldest first.
     pub records: Vec<ChargeRecord>,
 }
 
-/// What a VM with a disk offers to the others.
+/// The RPC interface of a VM with a disk.
 #[rpc(client, server, namespace = "charges")]
 pub(crate) trait ChargeRpc {
-    /// Keeps a batch; the answer comes after the batch has been synced to the disk.
+    /// Stores a batch; returns once the batch has been synced to the disk.
     #[method(name = "keep")]
     async fn keep(&self, batch: ChargeBatch) -> RpcResult<()>;
 }
 
-/// Sends a batch to the VM with a disk at an address.
+/// Sends a batch to the VM with a disk at `address` and waits until it has been stored.
 pub(crate) async fn keep(
     address: &str,
     batch: ChargeBatch,
--- a/crates/relay/src/charges/writer.rs
+++ b/crates/relay/src/charges/writer.rs
@@ -10,51 +10,53 @@
 use super::{ChargeBatch, ChargeRecord, keep};
 use crate::metrics::Metrics;
 
-/// Interval between two batches while records wait.
+/// Interval between two batches while records are queued.
 const INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Pause before a batch that was not kept goes to the next VM.
+/// Delay before a batch that was not stored is sent to the next VM.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time in which the records that are left are sent when the process ends.
+/// Time limit for sending the remaining records when the process ends.
 ///
-/// Less than what the daemon keeps of its grace for its end.
+/// Less than the part of the grace period that the daemon reserves for shutdown.
 const END_LIMIT: Duration = Duration::from_millis(600);
 
-/// Longest wait for a batch to be kept.
+/// Time limit for a batch to be stored.
 const TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest wait for a batch to be kept while the process ends.
+/// Time limit for a batch to be stored while the process ends.
 const END_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause after a failure while the process ends.
+/// Delay after a failure while the process ends.
 const END_PAUSE: Duration = Duration::from_millis(20);
 
-/// Records in one batch.
+/// Maximum number of records in a batch.
 const BATCH_RECORDS: usize = 2_000;
 
-/// Records that wait in memory while no VM with a disk answers.
+/// Maximum number of records queued in memory while no VM with a disk answers.
 const KEPT_RECORDS: usize = 50_000;
 
-/// Sends charge records to VMs with a disk.
+/// Queues charge records and sends them in batches to one VM with a disk at a time.
 #[derive(Debug)]
 pub(crate) struct ChargeWriter {
     sender: String,
     records: mpsc::Receiver<ChargeRecord>,
-    /// Addresses of VMs with a disk, nearest first.
+    /// Addresses of VMs with a disk, those in this VM's failure domain first.
     keepers: watch::Receiver<Vec<String>>,
     metrics: Arc<Metrics>,
     waiting: VecDeque<ChargeRecord>,
-    /// The batch that has been sent and not confirmed.
+    /// The batch that has been sent but not confirmed.
     open: Option<ChargeBatch>,
+    /// Sequence number of the last batch.
     number: u64,
-    /// Position of the keeper that is used.
+    /// Index of the keeper in use, modulo the number of keepers.
     at: usize,
+    /// Whether the last batch failed, so that only changes are logged.
     is_lost: bool,
 }
 
 impl ChargeWriter {
-    /// Makes a writer.
+    /// Creates a writer; `sender` names this VM and its incarnation.
     pub fn new(
         sender: String,
         records: mpsc::Receiver<ChargeRecord>,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Sends records until the control thread ends, and then what is left, once.
+    /// Sends records until the control thread ends, then the remaining ones within a time limit.
     pub async fn run(mut self) {
         let mut due = Instant::now() + INTERVAL;
         loop {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Adds a record, dropping the oldest one when there are too many.
+    /// Queues a record, dropping the oldest one if the queue is full.
     fn add(&mut self, record: ChargeRecord) {
         if self.waiting.len() >= KEPT_RECORDS && self.waiting.pop_front().is_some() {
             self.metrics.count_lost_charge();
@@ -116,7 +118,7 @@
         self.waiting.push_back(record);
     }
 
-    /// Sends one batch and returns whether it was kept; the next keeper is used after a failure.
+    /// Sends one batch and returns whether it was stored; after a failure the next keeper is used.
     async fn send(&mut self, limit: Duration) -> bool {
         let keepers = self.keepers.borrow().clone();
         let Some(batch) = self.next_batch().filter(|_| !keepers.is_empty()) else {
@@ -144,7 +146,7 @@
         is_kept
     }
 
-    /// Returns the batch that has to be sent next.
+    /// Returns the unconfirmed batch, or a new one if records are queued.
     fn next_batch(&mut self) -> Option<ChargeBatch> {
         if self.open.is_none() && !self.waiting.is_empty() {
             let count = self.waiting.len().min(BATCH_RECORDS);
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -1,4 +1,4 @@
-//! The messages to the control thread, and the receivers of its outputs.
+//! The messages to the control thread and the dispatch of its outputs.
 
 use std::collections::HashMap;
 use std::net::UdpSocket;
@@ -20,27 +20,27 @@
 /// A message to the control thread.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// An input of the core.
+    /// An input for the core.
     Input(Input),
-    /// An input that opens a call, with the receiver of its outputs.
+    /// An input that opens a call, with the channel for its outputs.
     Open {
-        /// The call.
+        /// ID of the call.
         call: CallId,
-        /// The caller's identity of the request.
+        /// The caller's ID of the request, for logs and charge records.
         request: Arc<str>,
-        /// The input.
+        /// The input that opens the call.
         input: Input,
-        /// Where the outputs for the call go.
+        /// Channel for the outputs of the call.
         outputs: mpsc::Sender<CallOutput>,
     },
-    /// Another VM asks for the state of this one.
+    /// Another VM requests a snapshot of this one.
     Snapshot {
-        /// Whether programs are needed as well.
+        /// Whether the snapshot has to include programs.
         with_programs: bool,
-        /// Where the state goes.
+        /// Channel for the snapshot.
         answer: oneshot::Sender<Box<Snapshot>>,
     },
-    /// The process ends.
+    /// Ends the control thread.
     Stop,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The traffic side of the queue.
+/// The sending side of the control thread's input queue.
 pub(crate) type InputSender = knapweeddale_runtime::InputSender<Message>;
 
 /// An output of the core for one call.
@@ -58,26 +58,26 @@
 pub(crate) enum CallOutput {
     /// Run an attempt.
     Dispatch(Dispatch),
-    /// The call ran.
+    /// The call is complete.
     Answered,
     /// The call is refused.
     Refused(Refusal),
 }
 
-/// What traffic threads may know of the control state.
+/// The part of the control state that is published to traffic threads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Status {
     /// Whether the load balancer may send calls to this VM.
     pub is_ready: bool,
-    /// Longest body of a request; 0 without a configuration.
+    /// Maximum size of a request body; 0 without a configuration.
     pub body_bytes: usize,
-    /// Longest head of a request; 0 without a configuration.
+    /// Maximum size of a request head; 0 without a configuration.
     pub header_bytes: usize,
-    /// Longest time that a connection stays open without a request.
+    /// Idle timeout of callers' connections.
     pub idle_timeout_ms: u64,
 }
 
-/// A request for the state of another VM.
+/// A request for a snapshot of another VM.
 #[derive(Debug)]
 pub(crate) struct SnapshotOrder {
     pub address: Arc<str>,
@@ -85,14 +85,14 @@
     pub asked_us: u64,
 }
 
-/// A call that is open.
+/// An open call, with the caller's ID of the request and the channel for its outputs.
 #[derive(Debug)]
 struct OpenCall {
     request: Arc<str>,
     outputs: mpsc::Sender<CallOutput>,
 }
 
-/// The receivers of outputs. Each has a bounded queue, and none is waited for.
+/// Dispatches the core's outputs to their receivers over bounded queues, without blocking.
 #[derive(Debug)]
 pub(crate) struct Outlets {
     pub source: mpsc::Sender<SourceRequest>,
@@ -102,37 +102,37 @@
     pub datagrams: UdpSocket,
     pub status: watch::Sender<Status>,
     keepers: watch::Sender<Vec<String>>,
-    /// What `keepers` was made of.
+    /// The list from which the published `keepers` were built.
     known_keepers: Arc<Vec<RecordKeeper>>,
     pub metrics: Arc<Metrics>,
     calls: HashMap<CallId, OpenCall>,
-    /// Calls that ended in this tick; outputs that follow may still name them.
+    /// Calls that ended in this tick; later outputs of the tick may still refer to them.
     ended: Vec<CallId>,
-    /// Inputs that follow from outputs which could not be handed over.
+    /// Inputs for the next tick that result from outputs which could not be delivered.
     echo: Vec<Input>,
 }
 
-/// The queues that an [`Outlets`] value fills.
+/// The receiving ends of the queues of [`Outlets`].
 #[derive(Debug)]
 pub(crate) struct Queues {
     pub source: mpsc::Receiver<SourceRequest>,
     pub snapshots: mpsc::Receiver<SnapshotOrder>,
     pub probes: mpsc::Receiver<ProbeOrder>,
     pub charges: mpsc::Receiver<ChargeRecord>,
-    /// Addresses of VMs with a disk, nearest first.
+    /// Addresses of VMs with a disk, those in this VM's failure domain first.
     pub keepers: watch::Receiver<Vec<String>>,
     pub status: watch::Receiver<Status>,
 }
 
-/// Requests to the store, for snapshots and probes that may wait.
+/// Capacity of each queue of requests to the store, for snapshots and for probes.
 const ORDERS: usize = 1_024;
 
-/// Charge records that may wait for the writer.
+/// Capacity of the queue of charge records for the writer.
 const CHARGES: usize = 65_536;
 
 /// # Construction
 impl Outlets {
-    /// Makes the outlets and the ends of their queues.
+    /// Creates the outlets and the receiving ends of their queues.
     pub fn new(datagrams: UdpSocket, metrics: Arc<Metrics>) -> (Self, Queues) {
         let (source, source_queue) = mpsc::channel(ORDERS);
         let (snapshots, snapshot_queue) = mpsc::channel(ORDERS);
@@ -168,7 +168,10 @@
 
 /// # Calls
 impl Outlets {
-    /// Hands an output to a call, which never has more outputs waiting than its channel holds.
+    /// Sends an output to the task of a call.
+    ///
+    /// A call never has more pending outputs than its channel holds, so a failure means that its
+    /// task has ended.
     fn hand(&mut self, call: CallId, output: CallOutput) {
         let Some(open) = self.calls.get(&call) else {
             return;
@@ -185,13 +188,13 @@
         }
     }
 
-    /// Hands the last output to a call.
+    /// Sends the last output to the task of a call and marks the call as ended.
     fn close(&mut self, call: CallId, output: CallOutput) {
         self.hand(call, output);
         self.ended.push(call);
     }
 
-    /// Returns the caller's identity of a call that is open.
+    /// Returns the caller's ID of the request of an open call, or `-` if the call is not open.
     fn request_of(&self, call: CallId) -> &str {
         self.calls.get(&call).map_or("-", |open| &open.request)
     }
@@ -199,7 +202,7 @@
 
 /// # Outputs
 impl Outlets {
-    /// Keeps a charge record.
+    /// Logs a charge and queues its record for the writer.
     fn charge(&mut self, charge: Charge) {
         let request = self.request_of(charge.attempt.call);
         let record = ChargeRecord::new(request, &charge);
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Sends a summary; one that cannot be sent is followed by the next.
+    /// Sends a summary. A failure is not retried, since the next summary follows.
     fn summary(&self, address: &str, summary: &knapweeddale_core::Summary) {
         let bytes = match postcard::to_stdvec(summary) {
             Ok(bytes) => bytes,
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Logs a decision with what it was based on.
+    /// Logs a decision with the revision and the ages of the data that it is based on.
     fn log(&self, decision: &Decision, control: &Control, now_us: u64) {
         self.metrics.count_decision(decision);
         let tables = control.tables();
@@ -258,7 +261,7 @@
     }
 }
 
-/// Returns an age in milliseconds, -1 if it is not known.
+/// Returns an age in milliseconds, or -1 if it is unknown.
 fn age_ms(age_us: Option<u64>) -> i64 {
     age_us.map_or(-1, |age_us| {
         i64::try_from(age_us / 1_000).unwrap_or(i64::MAX)
@@ -307,7 +310,7 @@
             } => {
                 let snapshot = control.snapshot(now_us, with_programs);
                 if answer.send(Box::new(snapshot)).is_err() {
-                    tracing::debug!("peers: the VM that asked for a snapshot has left");
+                    tracing::debug!("peers: snapshot not sent, the requesting VM disconnected");
                 }
             }
             Message::Stop => return false,
@@ -347,7 +350,7 @@
             }
             Output::Charge(charge) => self.charge(charge),
             Output::Decision(decision) => self.log(&decision, control, now_us),
-            // Only under `Coordination::Owners`, or for calls that have a home.
+            // Emitted only under `Coordination::Owners`, or for calls that have a home.
             Output::CancelAttempt(_)
             | Output::Replay { .. }
             | Output::PermitIssued { .. }
@@ -409,7 +412,7 @@
     }
 }
 
-/// Returns the label of an account.
+/// Returns the label of an account, or `-` if there is none.
 pub(crate) fn account_label(account: Option<&AccountName>) -> &str {
     account.map_or("-", |name| name.as_str())
 }
--- a/crates/relay/src/daemon.rs
+++ b/crates/relay/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon of a VM that relays calls: starts all parts and stops them without cutting calls.
+//! The daemon of a VM that relays calls: starts all components and drains calls before it stops.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,28 +25,30 @@
 use crate::store::{KnownRecords, Registration, Role, Source};
 use crate::upstream::{Pool, probe};
 
-/// Interval at which idle connections to upstreams are looked through.
+/// Interval at which idle connections to upstreams are checked for expiry.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Interval at which a process that stops looks whether its calls have ended.
+/// Interval at which a stopping daemon checks whether its connections have closed.
 const STOP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time kept for the end of a process within its grace.
+/// Part of the grace period that is reserved for shutdown after connections have been drained.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 
-/// A daemon cannot start.
+/// Error when a daemon cannot start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// A listener or thread cannot be made.
-    #[display("a listener cannot be opened ({source}); check addresses and limits")]
+    /// A listener, thread or folder cannot be opened.
+    #[display(
+        "a listener, thread or folder cannot be opened ({source}); check addresses and limits"
+    )]
     System {
-        /// The error of the system.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
     /// Two metrics have the same name.
-    #[display("the metrics cannot be set up ({source}); give each metric a name of its own")]
+    #[display("the metrics cannot be registered ({source}); give each metric a unique name")]
     Metrics {
-        /// The error of the metrics.
+        /// The error of the metrics library.
         source: prometheus::Error,
     },
 }
@@ -60,9 +62,10 @@
     control: JoinHandle<()>,
     charges: tokio::task::JoinHandle<()>,
     _peers: ServerHandle,
-    /// Tasks that end with the process.
+    /// Tasks that are aborted when the daemon stops.
     background: JoinSet<()>,
     doors: Doors,
+    /// Tells connections to close after their current response.
     closing: watch::Sender<bool>,
     grace: Duration,
     drain_notice: Duration,
@@ -70,11 +73,11 @@
 
 /// # Start
 impl<D: Dialect, C: Clock> Relay<D, C> {
-    /// Starts all parts.
+    /// Opens the listeners and starts all threads and tasks.
     ///
     /// # Errors
     ///
-    /// Fails if a listener cannot be opened.
+    /// Fails if a listener or thread cannot be started or the metrics cannot be registered.
     pub async fn start<S: FleetStore>(
         settings: RelaySettings,
         dialect: D,
@@ -153,7 +156,7 @@
         if let Some(address) = settings.metrics_listen {
             match TcpListener::bind(address).await {
                 Ok(listener) => serve(listener, Door::Readiness),
-                Err(error) => tracing::warn!(%address, "metrics: not served there ({error})"),
+                Err(error) => tracing::warn!(%address, "metrics: listener not opened ({error})"),
             }
         }
         tracing::info!(%vm, %address, "start: relays calls");
@@ -173,7 +176,8 @@
     }
 }
 
-/// Makes the socket for summaries, once for each thread that uses it.
+/// Binds the UDP socket for summaries; returns a handle for the control thread, which sends, and
+/// one for the task that receives.
 fn datagram_sockets(
     address: SocketAddr,
 ) -> std::io::Result<(std::net::UdpSocket, tokio::net::UdpSocket)> {
@@ -183,7 +187,7 @@
     Ok((socket, receiver))
 }
 
-/// Closes idle connections to upstreams when their time is over.
+/// Periodically closes connections to upstreams whose idle timeout has passed.
 async fn expire(pool: Arc<Pool>) {
     let mut ticks = interval(EXPIRE_INTERVAL);
     loop {
@@ -194,12 +198,12 @@
 
 /// # Observation
 impl<D, C> Relay<D, C> {
-    /// Returns the address that callers reach.
+    /// Returns the address on which callers are served.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the address that the load balancer asks.
+    /// Returns the address on which readiness checks of the load balancer are served.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
@@ -207,20 +211,20 @@
     /// Waits until this VM is ready for calls.
     pub async fn ready(&self) {
         let mut status = self.shared.status.clone();
-        // The control thread holds the other end for as long as it runs.
+        // Fails only if the control thread, which owns the sender, has ended.
         let _ = status.wait_for(|status| status.is_ready).await;
     }
 }
 
 /// # Stop
 impl<D: Dialect, C: Clock> Relay<D, C> {
-    /// Ends the daemon without cutting calls, within its grace.
+    /// Stops the daemon within its grace period and lets running calls finish.
     ///
-    /// Calls are served until the load balancer has noticed that this VM is not ready. After
-    /// that, connections close with their next response.
+    /// New calls are served until the load balancer has noticed that this VM is not ready. After
+    /// that, each connection closes with its next response.
     pub async fn stop(mut self) {
         let deadline = Instant::now() + self.grace.saturating_sub(STOP_MARGIN);
-        tracing::info!(connections = self.open(), "stop: asked to stop");
+        tracing::info!(connections = self.open(), "stop: draining connections");
         self.shared.is_draining.store(true, Ordering::Relaxed);
         self.shared.inputs.input(Input::Drain).await;
         sleep(self.drain_notice).await;
@@ -229,9 +233,9 @@
             () = self.wait_idle() => {}
             () = sleep_until(deadline) => {}
         }
-        tracing::info!(connections = self.open(), "stop: ends");
+        tracing::info!(connections = self.open(), "stop: shutting down");
         self.shared.inputs.input(Input::Halt).await;
-        // The control thread ends with this message or has ended before.
+        // Fails only if the control thread has already ended.
         let _ = self.shared.inputs.send(Message::Stop).await;
         self.background.abort_all();
         if let Err(error) = (&mut self.charges).await {
--- a/crates/relay/src/explain.rs
+++ b/crates/relay/src/explain.rs
@@ -1,4 +1,4 @@
-//! Gathers what the logs of several VMs say about one request.
+//! Collects the log lines of one request from the logs of several VMs.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -7,17 +7,17 @@
 use derive_more::{Display, Error};
 use serde::Deserialize;
 
-/// A log cannot be read.
+/// Error when a log file cannot be read.
 #[derive(Debug, Display, Error)]
 #[display("the log {file} cannot be read ({source}); give the path of a file with JSON lines")]
 pub struct ExplainError {
-    /// The file.
+    /// Path of the log file.
     pub file: String,
-    /// The error of the system.
+    /// The underlying I/O error.
     pub source: io::Error,
 }
 
-/// One line of a log.
+/// A JSON log line with the fields that link it to a request.
 #[derive(Debug, Clone, Deserialize)]
 struct Line {
     timestamp: Option<String>,
@@ -25,24 +25,25 @@
     request: Option<String>,
     call: Option<String>,
     attempt: Option<String>,
+    /// The JSON text of the line.
     #[serde(skip)]
     text: String,
 }
 
-/// What the logs say about one request.
+/// The log lines of one request and a summary of its outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
-    /// The lines in the order of their time.
+    /// The lines, sorted by timestamp.
     pub lines: Vec<String>,
-    /// What became of the request, in a sentence.
+    /// The outcome of the request, in one sentence.
     pub summary: String,
 }
 
-/// Reads logs and gathers what they say about a request.
+/// Reads log files and collects the lines of a request.
 ///
 /// # Errors
 ///
-/// Fails if a log cannot be read.
+/// Fails if a file cannot be read.
 pub fn explain(request: &str, files: &[impl AsRef<Path>]) -> Result<Explanation, ExplainError> {
     let mut logs = Vec::new();
     for file in files {
@@ -55,7 +56,9 @@
     Ok(explain_logs(request, logs.iter().map(String::as_str)))
 }
 
-/// Gathers what logs say about a request.
+/// Collects the lines of a request from the texts of logs.
+///
+/// Lines that name only a call or an attempt of the request are included.
 pub fn explain_logs<'a>(request: &str, logs: impl IntoIterator<Item = &'a str>) -> Explanation {
     let all: Vec<Line> = logs
         .into_iter()
@@ -87,7 +90,7 @@
     }
 }
 
-/// Parses a line, which may stand behind other text.
+/// Parses the JSON object of a line, skipping text before it such as a time or the VM's name.
 fn parse(text: &str) -> Option<Line> {
     let json = &text[text.find('{')?..];
     let mut line: Line = serde_json::from_str(json).ok()?;
@@ -95,7 +98,7 @@
     Some(line)
 }
 
-/// Says in a sentence what became of a request.
+/// Describes the outcome of a request in one sentence.
 fn summarize(request: &str, messages: &[&str]) -> String {
     let last = |part: &str| messages.iter().rfind(|message| message.contains(part));
     let count = |part: &str| {
@@ -114,7 +117,7 @@
         let (_, reason) = refused.split_once(" as ").unwrap_or(("", refused));
         format!("was refused as {reason}")
     } else {
-        "has no recorded end: its caller left or the VM ended".to_owned()
+        "has no recorded outcome: its caller disconnected or the VM stopped".to_owned()
     };
     let causes = ["rates: no room", "budgets: ", "retry: call"];
     let cause = causes.iter().find_map(|cause| last(cause));
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,13 +1,14 @@
 //! Relays calls that carry their whole prompt.
 //!
-//! [`Relay`] serves callers over HTTP/1.1, lets the decision core choose upstreams, and passes
-//! responses on as they arrive. [`Storage`] keeps charge records on VMs with a disk. Both are
-//! generic over a [`Dialect`], which knows the headers of callers and upstreams, and a
-//! [`FleetStore`], which knows the store of the platform; neither names a platform.
+//! [`Relay`] serves callers over HTTP/1.1, lets the decision core choose upstreams, and streams
+//! responses back as they arrive. [`Storage`] stores charge records on VMs with a disk. Both are
+//! generic over a [`FleetStore`], which accesses the store of the platform, and [`Relay`] also
+//! over a [`Dialect`], which encodes the headers of callers and upstreams. Neither depends on a
+//! platform.
 //!
 //! The front end is built on `hyper` and the upstream client on `httparse` instead of `rocket`
-//! and `reqwest`: the path has to see raw paths, half-read bodies, broken connections and late
-//! second responses, and must not retry anything by itself.
+//! and `reqwest`: the request path has to handle raw paths, partly read bodies, broken connections
+//! and late second responses, and the libraries must not retry anything by themselves.
 
 mod adapter;
 mod call;
--- a/crates/relay/src/logs/mod.rs
+++ b/crates/relay/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! The log of a process: JSON lines on standard output, bounded and never waited for.
+//! Logging to standard output as JSON lines, rate-limited and without blocking the caller.
 
 mod writer;
 
@@ -8,41 +8,39 @@
 
 pub use writer::{LineWriter, dropped_lines};
 
-/// The log cannot be set up.
+/// Error when logging cannot be initialized.
 #[derive(Debug, Display, Error)]
 pub enum LogError {
-    /// The filter cannot be read.
-    #[display(
-        "the log filter {filter:?} cannot be read ({source}); write a level such as \"info\""
-    )]
+    /// The filter is invalid.
+    #[display("the log filter {filter:?} is invalid ({source}); write a level such as \"info\"")]
     Filter {
-        /// The filter.
+        /// Text of the filter.
         filter: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: tracing_subscriber::filter::ParseError,
     },
-    /// The thread that writes the log cannot be started.
-    #[display("the log cannot be written ({source}); free resources of the system")]
+    /// The log thread cannot be started.
+    #[display("the log thread cannot be started ({source}); free resources of the system")]
     Thread {
-        /// The error of the system.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
-    /// The process has a log already.
-    #[display("the log is set up already ({source}); set it up once")]
+    /// Logging is already initialized in this process.
+    #[display("logging is already initialized ({source}); initialize it once")]
     Twice {
-        /// The error of the log.
+        /// The error of the tracing library.
         source: SetGlobalDefaultError,
     },
 }
 
-/// Writes the log of the process to standard output.
+/// Initializes logging to standard output.
 ///
-/// The returned writer has to be finished before the process ends, or its last lines are lost.
+/// Call [`LineWriter::finish`] before the process ends, or the last lines are lost.
 ///
 /// # Errors
 ///
-/// Fails if the filter cannot be read, the writing thread cannot be started, or the process has
-/// a log already.
+/// Fails if the filter is invalid, the log thread cannot be started, or logging is already
+/// initialized.
 pub fn init(filter: &str) -> Result<LineWriter, LogError> {
     let parsed = EnvFilter::try_new(filter).map_err(|source| LogError::Filter {
         filter: filter.to_owned(),
--- a/crates/relay/src/logs/writer.rs
+++ b/crates/relay/src/logs/writer.rs
@@ -1,4 +1,4 @@
-//! Writes lines in a thread of its own.
+//! Writes log lines on a dedicated thread.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,51 +9,51 @@
 use tracing::{Level, Metadata};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that may wait to be written.
+/// Capacity of the queue of lines.
 const WAITING_LINES: usize = 4_096;
 
-/// Lines a second at level `info` and below.
+/// Rate limit at level `info` and below, in lines per second.
 const LINES_PER_S: f64 = 600.0;
 
-/// Lines at once at level `info` and below.
+/// Burst size of the rate limit, in lines.
 const LINES_BURST: f64 = 1_200.0;
 
-/// Pause between two writes, so that lines are written together.
+/// Delay before each write, so that several lines are written together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Longest wait for the last lines at the end of the process.
+/// Time limit for writing the last lines at the end of the process.
 const FINISH_LIMIT: Duration = Duration::from_millis(200);
 
-/// Interval between two lines that state how many were left out.
+/// Minimum interval between two reports of dropped lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lines left out by this process.
+/// Number of lines dropped by this process.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many lines this process has left out.
+/// Returns the number of lines that this process has dropped.
 pub fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Writes lines without waiting, and leaves some out when there are too many.
+/// Queues lines for the log thread without blocking, and drops lines above the rate limit.
 ///
-/// Warnings and errors are only left out when the writing thread itself is behind.
+/// Warnings and errors are dropped only if the queue is full.
 #[derive(Debug, Clone)]
 pub struct LineWriter {
     lines: SyncSender<Entry>,
     allowance: Arc<Mutex<Allowance>>,
 }
 
-/// What the writing thread is given.
+/// An entry in the queue of the log thread.
 #[derive(Debug)]
 enum Entry {
-    /// A line.
+    /// A formatted line.
     Line(Vec<u8>),
-    /// A request to say when all lines before it are written.
+    /// A request to signal that all lines before it have been written.
     Mark(SyncSender<()>),
 }
 
-/// How many lines may be written now.
+/// A token bucket that limits the rate of lines.
 #[derive(Debug)]
 struct Allowance {
     lines: f64,
@@ -61,7 +61,7 @@
 }
 
 impl Allowance {
-    /// Takes one line; returns whether there was one.
+    /// Takes the token of one line; returns `false` if there is none.
     fn take(&mut self) -> bool {
         let now = Instant::now();
         let elapsed_s = now.duration_since(self.updated).as_secs_f64();
@@ -76,11 +76,11 @@
 }
 
 impl LineWriter {
-    /// Starts the writing thread.
+    /// Starts the log thread, which writes to `output`.
     ///
     /// # Errors
     ///
-    /// Fails if the system has no room for another thread.
+    /// Fails if the thread cannot be started.
     pub fn start<W: Write + Send + 'static>(output: W) -> io::Result<Self> {
         let (lines, queue) = sync_channel(WAITING_LINES);
         std::thread::Builder::new()
@@ -97,17 +97,17 @@
 }
 
 impl LineWriter {
-    /// Waits until the lines so far are written, for a short time at most.
+    /// Waits until all queued lines have been written, within a short time limit.
     pub fn finish(&self) {
         let (done, is_done) = sync_channel(1);
         if self.lines.try_send(Entry::Mark(done)).is_ok() {
-            // A reader that does not take the lines must not keep the process from ending.
+            // An output that blocks must not keep the process from ending.
             let _ = is_done.recv_timeout(FINISH_LIMIT);
         }
     }
 }
 
-/// Writes lines as they come, several at a time.
+/// Runs the log thread: writes queued lines, several at a time.
 fn write_lines<W: Write>(queue: &Receiver<Entry>, mut output: W) {
     let mut reported = (Instant::now(), 0);
     let mut text = Vec::new();
@@ -127,7 +127,7 @@
             text.extend_from_slice(report.as_bytes());
             reported = (Instant::now(), dropped);
         }
-        // There is nowhere to report that the log cannot be written.
+        // A failure to write the log cannot be reported anywhere.
         let _ = output.write_all(&text).and_then(|()| output.flush());
         text.clear();
         for mark in marks.drain(..) {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Adds an entry to what is written next.
+/// Adds an entry to the next write.
 fn take(entry: Entry, text: &mut Vec<u8>, marks: &mut Vec<SyncSender<()>>) {
     match entry {
         Entry::Line(line) => text.extend_from_slice(&line),
@@ -144,7 +144,7 @@
     }
 }
 
-/// One line.
+/// A line that is being formatted; dropping it queues it.
 #[derive(Debug)]
 pub struct Line<'a> {
     writer: &'a LineWriter,
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -11,7 +11,7 @@
 
 use crate::charges::ChargeRecord;
 
-/// Upper bounds of the buckets of durations, in seconds.
+/// Upper bounds of the histogram buckets for durations, in seconds.
 const SECONDS: [f64; 14] = [
     0.000_1, 0.000_3, 0.001, 0.003, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
@@ -45,7 +45,7 @@
 
 /// # Construction
 impl Metrics {
-    /// Makes all metrics at 0.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Formats all metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
@@ -128,12 +128,12 @@
     }
 }
 
-/// A part of the time of a call.
+/// A measured stage of a call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Stage {
     /// From arrival to the choice of an upstream.
     Queue,
-    /// Until a connection to the upstream is at hand.
+    /// Until a connection to the upstream is available.
     Connect,
     /// From the request to the first byte or event of the response.
     FirstByte,
@@ -141,7 +141,7 @@
     EventGap,
     /// From arrival to the end of the response.
     Whole,
-    /// From arrival to the end, less the time of the upstream.
+    /// From arrival to the end of the response, less the time spent on the upstream.
     Added,
 }
 
@@ -165,19 +165,19 @@
         self.requests.inc();
     }
 
-    /// Counts a refusal of the front end.
+    /// Counts a refusal.
     pub(crate) fn count_refusal(&self, kind: RefusalKind) {
         let kind = kind.to_string();
         self.refusals.with_label_values(&[kind.as_str()]).inc();
     }
 
-    /// Notes the time of a stage.
+    /// Records the duration of a stage.
     pub(crate) fn note(&self, stage: Stage, took: Duration) {
         let times = self.stage_s.with_label_values(&[stage.label()]);
         times.observe(took.as_secs_f64());
     }
 
-    /// Counts a connection to an upstream.
+    /// Counts a connection to an upstream as new or reused.
     pub(crate) fn count_connection(&self, is_new: bool) {
         let kind = if is_new { "new" } else { "kept" };
         self.connections.with_label_values(&[kind]).inc();
@@ -208,7 +208,7 @@
         tokens.inc_by(charge.answer_tokens);
     }
 
-    /// Counts a charge record that could not be kept.
+    /// Counts a charge record that was lost.
     pub(crate) fn count_lost_charge(&self) {
         self.lost_charges.inc();
     }
@@ -216,14 +216,14 @@
 
 /// # Control and fleet
 impl Metrics {
-    /// Counts a tick of the control thread.
+    /// Counts the inputs of a tick and records its duration and the number of open calls.
     pub(crate) fn count_tick(&self, inputs: usize, took: Duration, open_calls: usize) {
         self.tick_s.observe(took.as_secs_f64());
         self.tick_inputs.inc_by(inputs as u64);
         self.open_calls.set(gauge_value(open_calls as u64));
     }
 
-    /// Sets the ages of what was read and the VMs that share the rates.
+    /// Updates the gauges for the ages of data, the revision and the VMs that share the rates.
     pub(crate) fn set_ages(&self, control: &Control, now_us: u64) {
         let tables = control.tables();
         let readings = [
@@ -255,7 +255,7 @@
         self.summaries.with_label_values(&["unsent"]).inc();
     }
 
-    /// Counts a summary that arrived.
+    /// Counts a received summary.
     pub(crate) fn count_received(&self, is_readable: bool) {
         let kind = if is_readable {
             "received"
@@ -265,7 +265,7 @@
         self.summaries.with_label_values(&[kind]).inc();
     }
 
-    /// Counts a request to the store.
+    /// Counts a request to the store and records its duration.
     pub(crate) fn count_store(&self, purpose: &str, is_answered: bool, took: Duration) {
         self.store_calls.with_label_values(&[purpose]).inc();
         let outcome = if is_answered { "answered" } else { "failed" };
--- a/crates/relay/src/peers/datagrams.rs
+++ b/crates/relay/src/peers/datagrams.rs
@@ -8,17 +8,18 @@
 use crate::control::{InputSender, Message};
 use crate::metrics::Metrics;
 
-/// Longest datagram.
+/// Size of the receive buffer; no UDP datagram is longer.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Receives summaries until the socket fails.
+/// Receives summaries and queues them as inputs until the task is aborted.
 pub(crate) async fn receive(socket: UdpSocket, inputs: InputSender, metrics: Arc<Metrics>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let received = match socket.recv_from(&mut buffer).await {
             Ok((received, _)) => received,
             Err(error) => {
-                // A former datagram was refused by its receiver, which says nothing of this one.
+                // The error concerns an earlier datagram that its receiver refused; the socket
+                // can still receive.
                 tracing::debug!("peers: receiving failed ({error})");
                 continue;
             }
@@ -32,7 +33,7 @@
                     tracing::debug!("peers: summary dropped, the input queue is full");
                 }
             }
-            Err(error) => tracing::debug!("peers: summary cannot be read ({error})"),
+            Err(error) => tracing::debug!("peers: summary cannot be decoded ({error})"),
         }
     }
 }
--- a/crates/relay/src/peers/mod.rs
+++ b/crates/relay/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The exchange between VMs: summaries as datagrams, state on request.
+//! Communication between VMs: summaries as datagrams, snapshots on request.
 
 mod datagrams;
 mod snapshots;
--- a/crates/relay/src/peers/snapshots.rs
+++ b/crates/relay/src/peers/snapshots.rs
@@ -1,4 +1,4 @@
-//! The state of a VM, for others that have just started or missed a change.
+//! Serves and fetches snapshots, for VMs that have just started or missed a change.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 
 use crate::control::{InputSender, Message, SnapshotOrder};
 
-/// Longest wait for the state of another VM.
+/// Time limit for fetching a snapshot.
 const TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Largest state; a configuration holds a megabyte at most.
+/// Maximum size of a snapshot; the configuration in it has a megabyte at most.
 const MAX_BYTES: u32 = 16 * 1024 * 1024;
 
-/// The code of an error that goes away by itself.
+/// JSON-RPC error code for a snapshot that cannot be taken now; the request may be retried.
 const BUSY_CODE: i32 = -32_000;
 
-/// What each VM offers to the others.
+/// The RPC interface that each VM serves to the others.
 #[rpc(client, server, namespace = "state")]
 pub(crate) trait StateRpc {
-    /// Returns the state of the VM, with its programs if they are asked for.
+    /// Returns a snapshot of the VM, with its programs if `with_programs` is set.
     #[method(name = "snapshot")]
     async fn snapshot(&self, with_programs: bool) -> RpcResult<Snapshot>;
 }
 
-/// Answers other VMs.
+/// Serves snapshots of this VM to other VMs.
 #[derive(Debug)]
 pub(crate) struct SnapshotServer {
     pub inputs: InputSender,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Asks other VMs for their state, one at a time.
+/// Fetches requested snapshots of other VMs, one at a time, and queues them as inputs.
 pub(crate) async fn fetch(mut orders: mpsc::Receiver<SnapshotOrder>, inputs: InputSender) {
     while let Some(order) = orders.recv().await {
         let news = match ask(&order).await {
@@ -61,7 +61,7 @@
             },
             Err(error) => {
                 let address = &order.address;
-                tracing::warn!(%address, "peers: no snapshot ({error})");
+                tracing::warn!(%address, "peers: snapshot cannot be fetched ({error})");
                 PeerNews::NoSnapshot
             }
         };
@@ -69,7 +69,7 @@
     }
 }
 
-/// Asks one VM for its state.
+/// Fetches the snapshot of one VM.
 async fn ask(order: &SnapshotOrder) -> Result<Snapshot, jsonrpsee::core::ClientError> {
     let client = HttpClient::builder()
         .request_timeout(TIMEOUT)
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the two roles, as an adapter makes them.
+//! Settings of the two roles, built by the platform adapter.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,38 +12,38 @@
 pub struct RelaySettings {
     /// Settings of the core.
     pub core: CoreSettings,
-    /// Where callers are served.
+    /// Address on which callers are served.
     pub listen: SocketAddr,
-    /// Where the load balancer asks whether this VM may get calls.
+    /// Address on which readiness checks of the load balancer are served.
     pub ready_listen: SocketAddr,
-    /// Where other VMs reach this one, over UDP for summaries and TCP for snapshots.
+    /// Address for other VMs, over UDP for summaries and TCP for snapshots.
     pub peer_listen: SocketAddr,
-    /// Where metrics are served.
+    /// Address on which metrics are served, if they are.
     pub metrics_listen: Option<SocketAddr>,
-    /// Time within which the process has to end after it was asked to.
+    /// Time within which the process has to end after a request to stop.
     #[builder(default = Duration::from_secs(8))]
     pub grace: Duration,
-    /// Time after which the load balancer has noticed that this VM is not ready.
+    /// Time that the load balancer needs to notice that this VM is not ready.
     #[builder(default = Duration::from_millis(2_500))]
     pub drain_notice: Duration,
-    /// Inputs that may wait for the control thread.
+    /// Capacity of the control thread's input queue.
     #[builder(default = 4_096)]
     pub input_queue_len: usize,
-    /// Longest body of a request while no configuration states it.
+    /// Maximum size of a request body while there is no configuration.
     #[builder(default = 4_194_304)]
     pub max_body_bytes: usize,
 }
 
-/// Settings of a VM that keeps charge records.
+/// Settings of a VM that stores charge records.
 #[derive(Debug, Clone, Builder)]
 pub struct StorageSettings {
     /// The name of the VM.
     pub vm: String,
-    /// Where other VMs reach this one.
+    /// Address for other VMs.
     pub peer_listen: SocketAddr,
     /// The folder for charge records.
     pub data_folder: PathBuf,
-    /// Interval between two looks at the requests to empty this VM.
+    /// Interval at which the store is polled for a request to retire this VM.
     #[builder(default = Duration::from_millis(2_500))]
     pub retirement_interval: Duration,
 }
--- a/crates/relay/src/storage.rs
+++ b/crates/relay/src/storage.rs
@@ -1,4 +1,4 @@
-//! The daemon of a VM with a disk: keeps charge records.
+//! The daemon of a VM with a disk: stores charge records.
 
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -21,43 +21,44 @@
 use crate::settings::StorageSettings;
 use crate::store::{Registration, Role, list_keepers, register};
 
-/// The file of charge records, one JSON object a line.
+/// Name of the file of charge records, which has one JSON object per line.
 const FILE_NAME: &str = "charges.jsonl";
 
-/// Longest wait for an answer of the store.
+/// Time limit for a request to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for another VM to take records over.
+/// Time limit for handing records over to another VM.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Pause after a failure of the store.
+/// Delay before a failed registration is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// The code of an error that goes away by itself.
+/// JSON-RPC error code for a batch that could not be written; the sender may retry.
 const FAILED_CODE: i32 = -32_001;
 
-/// A file of charge records.
+/// The append-only file of charge records.
 #[derive(Debug)]
 struct Ledger {
     file: File,
     path: PathBuf,
-    /// The last batch that was kept, by sender.
+    /// Number of the last batch stored, by sender.
     kept: HashMap<String, u64>,
 }
 
 impl Ledger {
-    /// Opens the file of a folder, which may be empty.
+    /// Opens or creates the file in a folder, creating the folder if needed.
     fn open(folder: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join(FILE_NAME);
         let mut file = OpenOptions::new().create(true).append(true).open(&path)?;
-        // A record after a line that a power loss has torn would be lost with it.
+        // Without the line break, the next record would continue a line torn by a power loss and
+        // be lost with it.
         if ends_torn(&path)? {
             tracing::warn!("charges: the last record is torn");
             file.write_all(b"\n")?;
         }
         file.sync_all()?;
-        // The name of a new file lasts only once its folder has been synced.
+        // A new file survives a power loss only if its directory entry has been synced.
         File::open(folder)?.sync_all()?;
         Ok(Self {
             file,
@@ -66,7 +67,7 @@
         })
     }
 
-    /// Keeps a batch unless it was kept before.
+    /// Appends a batch and syncs the file, unless the batch has been stored before.
     fn keep(&mut self, batch: &ChargeBatch) -> io::Result<()> {
         let last = self.kept.get(&batch.sender).copied().unwrap_or_default();
         if batch.number <= last {
@@ -83,7 +84,7 @@
         Ok(())
     }
 
-    /// Reads all records; a line that a power loss has torn is left out.
+    /// Reads all records, skipping lines torn by a power loss.
     fn read(&self) -> io::Result<Vec<ChargeRecord>> {
         let text = std::fs::read(&self.path)?;
         let lines = text.split(|byte| *byte == b'\n');
@@ -91,14 +92,14 @@
         for line in lines.filter(|line| !line.is_empty()) {
             match serde_json::from_slice(line) {
                 Ok(record) => records.push(record),
-                Err(error) => tracing::warn!("charges: torn record left out ({error})"),
+                Err(error) => tracing::warn!("charges: torn record skipped ({error})"),
             }
         }
         Ok(records)
     }
 }
 
-/// Returns whether a file ends within a line.
+/// Returns whether the last line of a file is incomplete.
 fn ends_torn(path: &Path) -> io::Result<bool> {
     let mut file = File::open(path)?;
     if file.seek(SeekFrom::End(0))? == 0 {
@@ -110,7 +111,7 @@
     Ok(last != *b"\n")
 }
 
-/// Answers VMs that relay calls.
+/// The RPC server to which other VMs send charge records.
 #[derive(Debug, Clone)]
 struct Keeper {
     ledger: Arc<Mutex<Ledger>>,
@@ -134,7 +135,7 @@
     }
 }
 
-/// A running daemon that keeps charge records.
+/// A running daemon that stores charge records.
 #[derive(Debug)]
 pub struct Storage {
     server: ServerHandle,
@@ -142,7 +143,7 @@
 }
 
 impl Storage {
-    /// Starts the daemon.
+    /// Opens the file of records and starts the RPC server and the background task.
     ///
     /// # Errors
     ///
@@ -165,7 +166,7 @@
             role: Role::Storage,
             failure_domain: failure_domain.to_owned(),
         };
-        tracing::info!(vm = settings.vm, %address, "start: keeps charge records");
+        tracing::info!(vm = settings.vm, %address, "start: stores charge records");
         let duties = Duties {
             settings,
             store,
@@ -178,18 +179,18 @@
         })
     }
 
-    /// Ends the daemon; what it has confirmed is on the disk.
+    /// Stops the daemon. Confirmed batches are already synced to the disk.
     pub async fn stop(self) {
-        tracing::info!("stop: asked to stop");
+        tracing::info!("stop: shutting down");
         self.background.abort();
-        // Fails only if the server has stopped before.
+        // Fails only if the server has already stopped.
         let _ = self.server.stop();
         self.server.stopped().await;
-        tracing::info!("stop: ends");
+        tracing::info!("stop: server has stopped");
     }
 }
 
-/// What the daemon does besides answering.
+/// The background task, which registers this VM and handles its retirement.
 struct Duties<S> {
     settings: StorageSettings,
     store: S,
@@ -198,12 +199,12 @@
 }
 
 impl<S: FleetStore> Duties<S> {
-    /// Registers this VM, and empties it when the operator asks for that.
+    /// Registers this VM, then polls the store for a request to retire it.
     async fn run(self) {
         let mut is_lost = false;
         while let Err(error) = self.register().await {
             if !std::mem::replace(&mut is_lost, true) {
-                tracing::warn!("source: this VM is not registered ({error})");
+                tracing::warn!("source: registration failed, retrying ({error})");
             }
             sleep(RETRY_PAUSE).await;
         }
@@ -227,7 +228,7 @@
         within(register(&self.store, &self.registration, true)).await
     }
 
-    /// Looks whether this VM has to be emptied, and empties it.
+    /// Hands all records over and reports it, if the operator has requested this VM's retirement.
     async fn review(&self) -> Result<(), StoreError> {
         let me = VmName::from(self.settings.vm.as_str());
         let retirements = within(self.store.retirements()).await?;
@@ -235,15 +236,15 @@
         if mine.is_none_or(|row| row.is_done) {
             return Ok(());
         }
-        tracing::info!("storage: asked to be emptied");
+        tracing::info!("storage: retirement requested, handing records over");
         within(self.store.report_retirement(&me, false)).await?;
         self.hand_over().await?;
         within(self.store.report_retirement(&me, true)).await?;
-        tracing::info!("storage: emptied");
+        tracing::info!("storage: retirement complete");
         Ok(())
     }
 
-    /// Copies all records to another VM with a disk.
+    /// Copies all records to the nearest other VM with a disk that accepts them.
     async fn hand_over(&self) -> Result<(), StoreError> {
         let records = {
             let ledger = self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
@@ -269,20 +270,20 @@
                     tracing::info!(keeper, records, "storage: records handed over");
                     return Ok(());
                 }
-                Err(error) => tracing::warn!(keeper, "storage: records not taken ({error})"),
+                Err(error) => tracing::warn!(keeper, "storage: records not accepted ({error})"),
             }
         }
-        Err(unavailable("no other VM with a disk takes the records"))
+        Err(unavailable("no other VM with a disk accepts the records"))
     }
 }
 
-/// Bounds the wait for the store.
+/// Limits a request to the store to [`STORE_TIMEOUT`].
 async fn within<T>(answer: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
     let answer = timeout(STORE_TIMEOUT, answer).await;
     answer.unwrap_or_else(|_| Err(unavailable("no answer in time")))
 }
 
-/// Describes why something could not be done now.
+/// Builds a [`StoreError::Unavailable`].
 fn unavailable(reason: &str) -> StoreError {
     StoreError::Unavailable {
         reason: reason.to_owned(),
--- a/crates/relay/src/store/budgets.rs
+++ b/crates/relay/src/store/budgets.rs
@@ -1,4 +1,4 @@
-//! Reserves tokens of a program's budget in the store.
+//! Stores budget records of programs: reservations, stops and losses of memory.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -12,34 +12,34 @@
 
 use crate::wall_clock::unix_ms;
 
-/// The kind of the records.
+/// Key prefix of the budget records.
 const PREFIX: &str = "knapweeddale-budgets/";
 
-/// The count of losses of memory.
+/// Key of the record of losses of memory, in which all VMs lose their state together.
 const LOSSES_KEY: &str = "knapweeddale-fleet/losses";
 
-/// VMs that restart within this time count the same loss.
+/// VMs that restart within this time of each other count the same loss.
 const SAME_LOSS_MS: u64 = 4_000;
 
 /// Time after which a loss no longer matters to any program.
 const FORGET_LOSS_MS: u64 = 10_000;
 
-/// Records that are remembered; they only spare reads.
+/// Capacity of the cache of records, which only saves reads.
 const MAX_KNOWN_RECORDS: usize = 4_096;
 
-/// Tries to record that a program was stopped.
+/// Attempts to record that a program has been stopped.
 const MAX_STOP_TRIES: usize = 40;
 
-/// Pause between two of them.
+/// Delay between two attempts to record a stop.
 const STOP_PAUSE: Duration = Duration::from_millis(500);
 
-/// Conflicts with other VMs after which a reservation is given up.
+/// Conflicts with other VMs after which a write is given up.
 const MAX_CONFLICTS: usize = 6;
 
-/// Reserves tokens for the next turns of a program; 0 if its budget does not hold them.
+/// Reserves tokens for the next turns of a program; returns 0 if its budget is too small.
 ///
-/// `new` is the record of a program that has none yet. A write whose answer is lost may have
-/// taken effect. Its tokens then stay unused, which is on the safe side of the budget.
+/// `new` is the record to create if the program has none. A write whose answer is lost may have
+/// taken effect. Its tokens then stay unused, so the budget is never exceeded.
 pub(super) async fn reserve<S: ObjectApi>(
     store: &S,
     new: BudgetRecord,
@@ -48,8 +48,8 @@
     records: &KnownRecords,
 ) -> Result<u64, StoreError> {
     let key = key_of(&new.program);
-    // Most programs have no record yet, or one that this VM has written last, and need no read.
-    // One that another VM has written does, since a write without its version fails.
+    // Most programs have no record yet, or one that this VM wrote last, and need no read. A
+    // record that another VM wrote must be read, since a write without its version fails.
     let mut known = match records.get(&key) {
         None if has_record => store.get(&key).await?,
         known => known,
@@ -79,7 +79,7 @@
     })
 }
 
-/// Records as this VM has written them last; others may have written them since.
+/// Cache of records as this VM last wrote them; other VMs may have written them since.
 #[derive(Debug, Default)]
 pub(crate) struct KnownRecords(Mutex<HashMap<String, Object>>);
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// Records that a program has used up its budget, trying again while the store is away.
+/// Records that a program has exhausted its budget, retrying while the store is unavailable.
 pub(super) async fn stop<S: ObjectApi>(store: &S, program: &ProgramKey, budget_tokens: u64) {
     for _ in 0..MAX_STOP_TRIES {
         match try_stop(store, program, budget_tokens).await {
@@ -107,10 +107,10 @@
         }
         sleep(STOP_PAUSE).await;
     }
-    tracing::error!(%program, "budgets: stop not recorded, the store was away for too long");
+    tracing::error!(%program, "budgets: stop not recorded after {MAX_STOP_TRIES} attempts");
 }
 
-/// Records once that a program has used up its budget.
+/// Makes one attempt to record that a program has exhausted its budget.
 async fn try_stop<S: ObjectApi>(
     store: &S,
     program: &ProgramKey,
@@ -132,7 +132,7 @@
     store.put(&key, value, known.version).await.map(|_| ())
 }
 
-/// Returns the key of a program's record.
+/// Returns the key of a program's record, with `-` for characters that keys may not contain.
 fn key_of(program: &ProgramKey) -> String {
     let name: String = format!("{}.{}", program.account, program.name)
         .chars()
@@ -147,27 +147,28 @@
     format!("{PREFIX}{name}")
 }
 
-/// Reads a record.
+/// Decodes a record.
 fn read(key: &str, object: &Object) -> Result<BudgetRecord, StoreError> {
     serde_json::from_slice(&object.value).map_err(|error| unreadable(key, &error))
 }
 
-/// Describes a record that cannot be read or written.
+/// Builds the error for a record that cannot be decoded or encoded.
 fn unreadable(key: &str, error: &serde_json::Error) -> StoreError {
     StoreError::Unavailable {
         reason: format!("record {key} cannot be used: {error}"),
     }
 }
 
-/// The losses of the memory of all VMs.
+/// The stored record of losses of memory, each of which affects all VMs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Losses {
-    /// When those were counted that may still matter.
+    /// Unix times in milliseconds of the losses that may still matter.
     counted_unix_ms: Vec<u64>,
 }
 
 impl Losses {
-    /// Counts a loss at a time, unless another VM has counted the same one.
+    /// Adds a loss unless another VM has added the same one, and removes losses that no longer
+    /// matter.
     fn count(&mut self, now_unix_ms: u64) {
         let age_ms = |counted: &u64| now_unix_ms.abs_diff(*counted);
         let same = |counted: &u64| age_ms(counted) < SAME_LOSS_MS;
@@ -184,7 +185,7 @@
     }
 }
 
-/// Counts a loss of memory and reads all records.
+/// Records a loss of memory; returns the number of losses and all budget records.
 pub(super) async fn recover<S: ObjectApi>(
     store: &S,
 ) -> Result<(u32, Vec<BudgetRecord>), StoreError> {
@@ -197,7 +198,7 @@
     Ok((losses, records))
 }
 
-/// Counts a loss of memory and returns how many matter.
+/// Records a loss of memory and returns the number of losses that still matter.
 async fn count_loss<S: ObjectApi>(store: &S) -> Result<u32, StoreError> {
     for _ in 0..MAX_CONFLICTS {
         let object = store.get(LOSSES_KEY).await?;
--- a/crates/relay/src/store/mod.rs
+++ b/crates/relay/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out the core's requests to the platform's store.
+//! Sends the core's requests to the platform's store.
 
 mod budgets;
 mod registry;
@@ -20,10 +20,10 @@
 pub(crate) use budgets::KnownRecords;
 pub(crate) use registry::{Registration, Role, list_keepers, register};
 
-/// Longest wait for an answer; a slow store answers within a quarter of a second.
+/// Time limit for a request; a slow store answers within a quarter of a second.
 const TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Carries out requests to the store.
+/// Sends the core's requests to the store and returns the answers as inputs.
 #[derive(Debug)]
 pub(crate) struct Source<S, C> {
     pub store: Arc<S>,
@@ -33,12 +33,12 @@
     pub registration: Registration,
     /// Whether the settings name other VMs.
     pub has_seeds: bool,
-    /// Records of budgets that this VM has written.
+    /// Cache of the budget records that this VM has written.
     pub records: KnownRecords,
 }
 
 impl<S: FleetStore, C: Clock> Source<S, C> {
-    /// Carries out requests until the control thread ends.
+    /// Handles requests concurrently until the control thread ends.
     pub async fn run(self, mut requests: mpsc::Receiver<SourceRequest>) {
         let source = Arc::new(self);
         while let Some(request) = requests.recv().await {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Carries out one request and hands the answer to the core.
+    /// Handles one request and sends the answer to the core.
     async fn answer(&self, request: SourceRequest) {
         if let SourceRequest::Stop {
             program,
@@ -76,14 +76,14 @@
             }
             Err(_) => {
                 self.metrics.count_store(purpose, false, took);
-                tracing::debug!(purpose, "source: request had no answer");
+                tracing::debug!(purpose, "source: request timed out after {TIMEOUT:?}");
                 SourceEvent::Failed(part)
             }
         };
         self.inputs.input(Input::Source(event)).await;
     }
 
-    /// Asks the store.
+    /// Sends a request to the store and returns its answer.
     async fn ask(&self, request: SourceRequest, asked_us: u64) -> Result<SourceEvent, StoreError> {
         match request {
             SourceRequest::Config => Ok(SourceEvent::Config {
@@ -104,7 +104,7 @@
                     keepers: keepers.into_iter().map(Registration::into_keeper).collect(),
                 })
             }
-            // Carried out without an answer.
+            // Handled by `answer`, since it has no answer.
             SourceRequest::Stop { program, .. } => {
                 Ok(SourceEvent::Failed(SourcePart::Budget(program)))
             }
@@ -130,7 +130,7 @@
     }
 }
 
-/// Returns what a request is about.
+/// Returns the part of the store's data that a request concerns.
 fn part_of(request: &SourceRequest) -> SourcePart {
     match request {
         SourceRequest::Config => SourcePart::Config,
@@ -143,7 +143,7 @@
     }
 }
 
-/// Returns the label of a request in metrics.
+/// Returns the label of a request in metrics and logs.
 fn purpose_of(part: &SourcePart) -> &'static str {
     match part {
         SourcePart::Config => "config",
--- a/crates/relay/src/store/registry.rs
+++ b/crates/relay/src/store/registry.rs
@@ -1,37 +1,37 @@
-//! VMs register in the store, so that they find each other.
+//! Registration of VMs in the store, through which they find each other.
 
 use knapweeddale_core::{DomainName, RecordKeeper, RegisteredVm, VmName};
 use knapweeddale_store::{Object, ObjectApi, StoreError};
 use serde::{Deserialize, Serialize};
 
-/// The kind of the objects in which VMs register.
+/// Key prefix of the registrations.
 const PREFIX: &str = "knapweeddale-vms/";
 
-/// What a VM does.
+/// The role of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Role {
-    /// It relays calls.
+    /// Relays calls.
     Entry,
-    /// It keeps charge records.
+    /// Stores charge records.
     Storage,
 }
 
-/// The registration of a VM.
+/// The stored registration of a VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Registration {
-    /// The name.
+    /// Name of the VM.
     pub vm: String,
-    /// The address at which other VMs reach it.
+    /// Address at which other VMs reach it, as `ip:port`.
     pub address: String,
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Its failure domain.
     pub failure_domain: String,
 }
 
 impl Registration {
-    /// Returns the form of the core.
+    /// Converts the registration of a VM that relays calls to the core's type.
     pub fn into_vm(self) -> RegisteredVm {
         RegisteredVm {
             vm: VmName::from(self.vm),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the form of the core of a VM with a disk.
+    /// Converts the registration of a VM with a disk to the core's type.
     pub fn into_keeper(self) -> RecordKeeper {
         RecordKeeper {
             vm: VmName::from(self.vm),
@@ -53,10 +53,11 @@
     }
 }
 
-/// Registers a VM if it is not registered as it is, and returns all registered VMs.
+/// Registers a VM unless its registration is up to date, and returns all registered VMs.
 ///
-/// Of two VMs that register at the same time, at least the later one has to see the other, unless
-/// both learn of each other from VMs that they know already.
+/// If two VMs register at the same time, at least the later one has to see the other, so all are
+/// read again after the write. This is skipped if `knows_others` is set: then the VMs learn of
+/// each other from VMs that they already know.
 pub(crate) async fn register<S: ObjectApi>(
     store: &S,
     me: &Registration,
@@ -74,7 +75,7 @@
         reason: format!("registration cannot be written: {error}"),
     })?;
     match store.put(&key, value, version).await {
-        // An earlier write whose answer was lost has registered this VM.
+        // A conflict means that an earlier write, whose answer was lost, has registered this VM.
         Ok(_) | Err(StoreError::Conflict { .. }) => {}
         Err(error) => return Err(error),
     }
@@ -87,7 +88,7 @@
     Ok(registered)
 }
 
-/// Decodes registrations; one that cannot be read is left out.
+/// Decodes registrations, skipping invalid ones.
 fn decode(entries: &[(String, Object)]) -> Vec<Registration> {
     let decoded = entries.iter().filter_map(|(name, object)| {
         let row = serde_json::from_slice(&object.value);
--- a/crates/relay/src/wall_clock.rs
+++ b/crates/relay/src/wall_clock.rs
@@ -1,8 +1,8 @@
-//! The time of day.
+//! Wall-clock time.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Returns the time of this VM's wall clock in milliseconds; one before 1970 counts as 0.
+/// Returns the Unix time of this VM's clock in milliseconds, or 0 if the clock is before 1970.
 pub(crate) fn unix_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     let ms = elapsed.map_or(0, |elapsed| elapsed.as_millis());
--- a/crates/relay/tests/explained_request.rs
+++ b/crates/relay/tests/explained_request.rs
@@ -1,4 +1,4 @@
-//! From the identity of a request to what the logs say about it.
+//! Explanation of a request from the logs of several VMs.
 
 use knapweeddale_relay::explain_logs;
 use rstest::rstest;
@@ -12,7 +12,8 @@
 {"timestamp":"2026-05-31T13:34:37.11Z","level":"INFO","message":"rates: admitted call 6a-185 of bus after 0 us","request":"9000","call":"6a-185"}
 half a li"#;
 
-/// Guards against lines of other requests, and lines of attempts that are missed.
+/// Guards against lines of other requests that are included, and lines that name only an attempt
+/// of the request and are missed.
 #[rstest]
 fn lost_answer() {
     let explanation = explain_logs("8045", [ENTRY, ""]);
@@ -24,7 +25,7 @@
     );
 }
 
-/// Guards against an explanation of a request that nobody has seen.
+/// Guards against an explanation of a request that no log names.
 #[rstest]
 fn unknown_request() {
     let explanation = explain_logs("7777", [ENTRY]);
--- a/crates/relay/tests/metrics_page.rs
+++ b/crates/relay/tests/metrics_page.rs
@@ -1,24 +1,24 @@
-//! The page of metrics and the code that makes them.
+//! The documentation page of metrics matches the code.
 
 use std::collections::BTreeSet;
 
 const PAGE: &str = include_str!("../../../docs/metrics.md");
 const CODE: &str = include_str!("../src/metrics.rs");
 
-/// Returns the names of metrics in a text.
+/// Returns the names of the metrics that a text mentions.
 fn names(text: &str) -> BTreeSet<&str> {
     text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_')
         .filter(|word| word.starts_with("kwd_"))
         .collect()
 }
 
-/// Guards against a metric that the page leaves out, or names although it is gone.
+/// Guards against a metric that the page omits, or lists although it has been removed.
 #[test]
 fn all_named() {
     assert_eq!(names(PAGE), names(CODE));
 }
 
-/// Guards against a row whose meaning is no longer that of the code.
+/// Guards against a row whose description differs from the help text in the code.
 #[test]
 fn same_meaning() {
     for row in PAGE.lines().filter(|line| line.starts_with("| `kwd_")) {
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,15 +1,15 @@
-//! Time as the core sees it.
+//! Clocks that provide the time for the core.
 
 use std::time::Instant;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// The time at the start of a clock, so that subtracting an age never reaches 0.
+/// Offset of all clocks, so that a time minus an age never reaches 0.
 const START_US: u64 = 3_600_000_000;
 
-/// Monotonic time in microseconds.
+/// A monotonic clock.
 pub trait Clock: std::fmt::Debug + Clone + Send + Sync + 'static {
-    /// Returns the time since an arbitrary start.
+    /// Returns the time in microseconds since an arbitrary start.
     fn now_us(&self) -> u64;
 }
 
@@ -35,9 +35,9 @@
     }
 }
 
-/// The system's clock that also counts the time for which the machine was suspended.
+/// The system's monotonic clock that also counts the time for which the machine was suspended.
 ///
-/// Ages of what was read from the store have to include that time.
+/// Ages of data that was read from the store have to include that time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BootClock;
 
--- a/crates/runtime/src/control_loop.rs
+++ b/crates/runtime/src/control_loop.rs
@@ -10,18 +10,18 @@
 use crate::clock::Clock;
 use crate::queue::{Envelope, InputQueue};
 
-/// Messages handled in one tick. A larger batch delays the first call in it;
-/// at 10 us for a call this many take 2.5 ms.
+/// Maximum number of messages handled in one tick. A larger batch delays the first call in it;
+/// at 10 us per call this many take 2.5 ms.
 const MAX_BATCH: usize = 256;
 
-/// Hands the outputs of the core to those who carry them out.
+/// Connects the control loop to a daemon: unpacks messages and dispatches outputs.
 ///
-/// The control thread owns it; nothing in it may block.
+/// Runs on the control thread, so no method may block.
 pub trait Outlets: Send + 'static {
-    /// What the traffic side sends to the control thread.
+    /// The messages that traffic threads send to the control thread.
     type Message: From<Input> + Send + 'static;
 
-    /// Takes a message, adding the inputs that it holds; returns whether the thread goes on.
+    /// Handles a message and adds its inputs to `inputs`; returns `false` if the thread has to end.
     fn accept(
         &mut self,
         message: Self::Message,
@@ -30,19 +30,19 @@
         inputs: &mut Vec<Input>,
     ) -> bool;
 
-    /// Carries one output to its receiver.
+    /// Dispatches one output to its receiver.
     fn carry(&mut self, output: Output, control: &Control, now_us: u64);
 
-    /// Publishes what traffic threads may know, after each tick.
+    /// Publishes the state that traffic threads read; called after each tick.
     fn refresh(&mut self, control: &Control, now_us: u64);
 
-    /// Returns whether inputs follow from outputs that could not be handed over.
+    /// Returns whether outputs that could not be delivered have led to new inputs.
     fn has_echo(&self) -> bool;
 
-    /// Takes these inputs.
+    /// Removes and returns these inputs.
     fn take_echo(&mut self) -> Vec<Input>;
 
-    /// Counts a tick.
+    /// Records the number of inputs and the duration of a tick in metrics.
     fn count_tick(&self, inputs: usize, took: Duration);
 }
 
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the system has no room for another thread.
+/// Fails if the thread cannot be started.
 pub fn spawn<C: Clock, O: Outlets>(
     control: Control,
     queue: InputQueue<O::Message>,
@@ -70,7 +70,7 @@
         .spawn(move || control_loop.run())
 }
 
-/// What the control thread owns.
+/// The state of the control thread.
 struct ControlLoop<C, O: Outlets> {
     control: Control,
     queue: InputQueue<O::Message>,
@@ -81,7 +81,8 @@
 }
 
 impl<C: Clock, O: Outlets> ControlLoop<C, O> {
-    /// Handles messages and deadlines until the process ends, the inputs before its end included.
+    /// Handles messages and deadlines until a message ends the thread, after a tick over the inputs
+    /// received before it.
     fn run(mut self) {
         loop {
             match self.wait() {
@@ -123,7 +124,7 @@
         self.queue.recv_timeout(Duration::from_micros(wait_us))
     }
 
-    /// Takes a message; returns whether the thread goes on.
+    /// Handles a message; returns `false` if the thread has to end.
     fn accept(&mut self, envelope: Envelope<O::Message>) -> bool {
         let now_us = self.clock.now_us();
         let message = envelope.message;
@@ -131,7 +132,7 @@
             .accept(message, &self.control, now_us, &mut self.inputs)
     }
 
-    /// Runs the systems and hands out what they put out.
+    /// Runs the systems on the collected inputs and dispatches their outputs.
     fn tick(&mut self) {
         let started = Instant::now();
         self.inputs.append(&mut self.outlets.take_echo());
--- a/crates/runtime/src/ids.rs
+++ b/crates/runtime/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identities of calls and of the start of a process.
+//! IDs of calls and incarnations of processes.
 
 use std::hash::{BuildHasher, RandomState};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 
 use knapweeddale_core::{CallId, Incarnation};
 
-/// Numbers the calls of one start of the process.
+/// Generates the IDs of calls, which are unique within one incarnation of the process.
 #[derive(Debug)]
 pub struct CallIds {
     incarnation: Incarnation,
@@ -14,7 +14,7 @@
 }
 
 impl CallIds {
-    /// Starts at 1.
+    /// Creates a generator whose first sequence number is 1.
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Returns a new identity.
+    /// Returns a new ID.
     pub fn next(&self) -> CallId {
         CallId {
             incarnation: self.incarnation,
@@ -31,13 +31,14 @@
     }
 }
 
-/// Returns a number that no other process draws, from the random keys that the
-/// standard library takes from the system for its hash maps.
+/// Returns a random number that differs between processes, derived from the random keys that the
+/// standard library gets from the system for its hash maps.
 pub fn random_u64() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
-/// Returns the number of this start: the time in seconds and a random part.
+/// Returns a new incarnation: the Unix time in seconds in the upper half and random bits in the
+/// lower.
 pub fn new_incarnation() -> Incarnation {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     let seconds = elapsed.map(|time| time.as_secs()).unwrap_or_default();
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -3,7 +3,7 @@
 use prometheus::Registry;
 use prometheus::core::Collector;
 
-/// Makes a metric and registers it.
+/// Registers a new metric and returns it.
 ///
 /// # Errors
 ///
@@ -17,7 +17,7 @@
     Ok(metric)
 }
 
-/// Converts a count to the type of a gauge.
+/// Converts a count to the value type of gauges, saturating at its maximum.
 pub fn gauge_value(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/crates/runtime/src/probe.rs
+++ b/crates/runtime/src/probe.rs
@@ -1,4 +1,4 @@
-//! Orders to probe upstreams whose connections broke.
+//! Requests to probe upstreams whose connections broke.
 
 use std::sync::Arc;
 
@@ -6,19 +6,19 @@
 use knapweeddale_core::{Control, Input, UpstreamName};
 use tokio::sync::mpsc;
 
-/// The order to probe an upstream.
+/// A request to probe an upstream.
 #[derive(Debug)]
 pub struct ProbeOrder {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamName,
     /// Its address as `ip:port`.
     pub address: Arc<str>,
 }
 
-/// Orders a probe, or returns the input that follows if it cannot be ordered.
+/// Queues a probe, or returns its result as an input if it cannot be queued.
 ///
-/// An upstream that cannot be probed counts as alive, so that nobody is suspected without
-/// evidence.
+/// An upstream that cannot be probed counts as alive, so that no request is suspected of a crash
+/// without evidence.
 pub fn order_probe(
     orders: &mpsc::Sender<ProbeOrder>,
     upstream: UpstreamName,
--- a/crates/runtime/src/queue.rs
+++ b/crates/runtime/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue into the control thread.
+//! The input queue of the control thread.
 
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -7,26 +7,25 @@
 use knapweeddale_core::Input;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A message with its place in the queue.
+/// A message with the permit for its place in the queue.
 #[derive(Debug)]
 pub struct Envelope<M> {
     pub(crate) message: M,
     _room: OwnedSemaphorePermit,
 }
 
-/// The traffic side of the queue.
+/// The sending side of the input queue.
 ///
-/// The semaphore has as many permits as the channel has places, and a permit
-/// travels with each message. So a send never blocks a traffic thread, calls
-/// are refused at once when the queue is full, and events of running attempts
-/// wait for room without polling.
+/// The semaphore has as many permits as the channel has places, and each message holds a permit
+/// until it has been received. So a send never blocks a traffic thread, calls are refused at once
+/// when the queue is full, and events of running attempts wait for a permit without polling.
 #[derive(Debug)]
 pub struct InputSender<M> {
     channel: SyncSender<Envelope<M>>,
     room: Arc<Semaphore>,
 }
 
-/// The control thread's side of the queue.
+/// The receiving side of the input queue.
 pub type InputQueue<M> = Receiver<Envelope<M>>;
 
 impl<M> Clone for InputSender<M> {
@@ -38,7 +37,7 @@
     }
 }
 
-/// Makes a queue with this many places.
+/// Creates an input queue with a capacity of `len` messages.
 pub fn input_queue<M>(len: usize) -> (InputSender<M>, InputQueue<M>) {
     let (channel, queue) = sync_channel(len);
     let room = Arc::new(Semaphore::new(len));
@@ -51,18 +50,18 @@
 pub struct QueueFull;
 
 impl<M: From<Input>> InputSender<M> {
-    /// Queues a message if there is room.
+    /// Enqueues a message without waiting.
     ///
     /// # Errors
     ///
-    /// Fails if there is no room or the control thread has ended.
+    /// Fails if the queue is full or the control thread has ended.
     pub fn try_send(&self, message: M) -> Result<(), QueueFull> {
         let room = Arc::clone(&self.room).try_acquire_owned();
         let room = room.map_err(|_| QueueFull)?;
         self.push(message, room)
     }
 
-    /// Queues a message, waiting for room.
+    /// Enqueues a message, waiting while the queue is full.
     ///
     /// # Errors
     ///
@@ -73,9 +72,9 @@
         self.push(message, room)
     }
 
-    /// Queues an input, waiting for room.
+    /// Enqueues an input, waiting while the queue is full.
     pub async fn input(&self, input: Input) {
-        // Fails only when the control thread has ended, and then nobody needs the input.
+        // Fails only if the control thread has ended, and then the input is not needed.
         let _ = self.send(input.into()).await;
     }
 
