--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -241,6 +241,6 @@
     let stale_us = state.read_us.map_or(0, |read_us| read_us + age_us);
     let answer_us = state
         .requested_us
-        .map_or(0, |asked_us| asked_us + REQUEST_TIMEOUT_US);
+        .map_or(0, |sent_us| sent_us + REQUEST_TIMEOUT_US);
     stale_us.max(state.retry_us).max(answer_us)
 }
