--- a/crates/relay/src/call/attempt.rs
+++ b/crates/relay/src/call/attempt.rs
@@ -14,34 +14,34 @@
 use super::reply::{RelayBody, Reply};
 use super::request;
 use crate::adapter::{AnswerHead, CallHead, Dialect, Forward};
-use crate::front::Shared;
+use crate::front::SharedState;
 use crate::metrics::Stage;
 use crate::upstream::{Connection, EventReader, ReadError, ResponseHead};
 
 /// Longest response that is passed on as a whole.
-const MAX_WHOLE_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BUFFERED_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// Responses to other requests that are passed over on one connection.
-const MAX_FOREIGN_RESPONSES: usize = 2;
+const MAX_MISMATCHED_RESPONSES: usize = 2;
 
 /// What a call has passed to its caller, over all attempts.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     /// Tokens passed on by the present attempt.
-    pub tokens: u64,
+    pub forwarded_tokens: u64,
     /// The last event that the caller has.
     pub last_event_id: Option<u64>,
     /// Whether any event was passed on.
-    pub is_started: bool,
+    pub is_stream_started: bool,
     /// Whether the present attempt may have sent a byte of the request.
-    pub is_sent: bool,
+    pub may_be_sent: bool,
     /// Time that upstreams took.
-    pub upstream: Duration,
+    pub upstream_time: Duration,
 }
 
 /// One attempt of a call on an upstream.
 pub(super) struct Attempt<'a, D, C> {
-    pub shared: &'a Shared<D, C>,
+    pub shared: &'a SharedState<D, C>,
     pub parts: &'a Parts,
     pub body: &'a Bytes,
     pub head: &'a CallHead,
@@ -71,7 +71,7 @@
     /// Runs the attempt.
     pub async fn run(mut self) -> AttemptEnd {
         let now_us = self.shared.clock.now_us();
-        let limit_us = if self.progress.is_started {
+        let limit_us = if self.progress.is_stream_started {
             self.dispatch.stream_deadline_us
         } else {
             self.dispatch.deadline_us
@@ -84,7 +84,7 @@
         let deadline = started + Duration::from_micros(left_us);
         let address = &self.dispatch.address;
         let pool = &self.shared.pool;
-        let taken = pool.take(address, self.is_repeatable, &self.shared.metrics);
+        let taken = pool.acquire(address, self.is_repeatable, &self.shared.metrics);
         let mut connection = match timeout_at(deadline, taken).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(error)) => {
@@ -99,11 +99,11 @@
             .metrics
             .note(Stage::Connect, sent.duration_since(started));
         let end = self.exchange(&mut connection, deadline).await;
-        self.progress.upstream += sent.elapsed();
+        self.progress.upstream_time += sent.elapsed();
         match end {
             Ok((end, keep_alive_s)) => {
                 if let Some(keep_alive_s) = keep_alive_s {
-                    pool.keep(address, connection, keep_alive_s.0);
+                    pool.put_idle(address, connection, keep_alive_s.0);
                 }
                 end
             }
@@ -130,37 +130,37 @@
                 last_event_id: self.progress.last_event_id.or(self.head.last_event_id),
             },
         );
-        let request = request::write(self.parts, &headers, self.body);
+        let request = request::encode_request(self.parts, &headers, self.body);
         let sent = Instant::now();
         let first = sent + Duration::from_millis(self.dispatch.first_token_ms);
         let limit = deadline.min(first);
-        self.progress.is_sent = true;
+        self.progress.may_be_sent = true;
         let exchange = timeout_at(limit, connection.exchange(&request)).await;
-        let exchange = exchange.map_err(|_| self.silent())?;
-        let exchange = exchange.map_err(|error| self.lost(&error))?;
+        let exchange = exchange.map_err(|_| self.timeout_failure())?;
+        let exchange = exchange.map_err(|error| self.failure(&error))?;
         let mut head = exchange.head;
         let mut answer = self.shared.dialect.answer(head.status, &head.headers);
-        for _ in 0..MAX_FOREIGN_RESPONSES {
-            if !self.is_foreign(&answer) {
+        for _ in 0..MAX_MISMATCHED_RESPONSES {
+            if !self.is_mismatched(&answer) {
                 break;
             }
-            head = self.skip(connection, &head, limit).await?;
+            head = self.skip_response(connection, &head, limit).await?;
             answer = self.shared.dialect.answer(head.status, &head.headers);
         }
-        if self.is_foreign(&answer) {
-            return Err(self.garbled("only responses to other requests"));
+        if self.is_mismatched(&answer) {
+            return Err(self.invalid_response("only responses to other requests"));
         }
-        let is_reusable = exchange.is_sent && head.is_keep_alive;
+        let is_reusable = exchange.is_request_complete && head.is_keep_alive;
         let end = match self.dispatch.events {
-            Some(form) if head.status.is_success() && is_genuine(&head, &answer) => {
+            Some(form) if head.status.is_success() && is_authentic(&head, &answer) => {
                 let end = self
-                    .stream(connection, &head, form, (sent, deadline))
+                    .forward_stream(connection, &head, form, (sent, deadline))
                     .await?;
                 (end, true)
             }
             _ => {
-                let whole = self.whole(connection, &head, deadline).await?;
-                (self.judge(&head, &answer, whole.0), whole.1)
+                let whole = self.read_whole(connection, &head, deadline).await?;
+                (self.classify_response(&head, &answer, whole.0), whole.1)
             }
         };
         let keep = (is_reusable && end.1).then_some(KeepAlive(answer.keep_alive_s));
@@ -168,7 +168,7 @@
     }
 
     /// Returns whether a response belongs to another request.
-    fn is_foreign(&self, answer: &AnswerHead) -> bool {
+    fn is_mismatched(&self, answer: &AnswerHead) -> bool {
         match (&answer.request_id, &self.head.request_id) {
             (Some(answered), Some(asked)) => answered != asked,
             _ => false,
@@ -176,7 +176,7 @@
     }
 
     /// Reads a response to another request to its end, and the head of the next one.
-    async fn skip(
+    async fn skip_response(
         &self,
         connection: &mut Connection,
         head: &ResponseHead,
@@ -186,15 +186,17 @@
         tracing::warn!(%upstream, "upstream: response to another request passed over");
         let next = async {
             let mut body = connection.body(&self.parts.method, head)?;
-            body.collect(MAX_WHOLE_BYTES).await?;
+            body.collect(MAX_BUFFERED_BODY_BYTES).await?;
             connection.read_head().await
         };
-        let next = timeout_at(limit, next).await.map_err(|_| self.silent())?;
-        next.map_err(|error| self.lost(&error))
+        let next = timeout_at(limit, next)
+            .await
+            .map_err(|_| self.timeout_failure())?;
+        next.map_err(|error| self.failure(&error))
     }
 
     /// Reads a response as a whole; returns whether its connection can be used again.
-    async fn whole(
+    async fn read_whole(
         &self,
         connection: &mut Connection,
         head: &ResponseHead,
@@ -202,37 +204,44 @@
     ) -> Result<(Bytes, bool), Failure> {
         let read = async {
             let mut body = connection.body(&self.parts.method, head)?;
-            let bytes = body.collect(MAX_WHOLE_BYTES).await?;
-            Ok((bytes, body.is_clean()))
+            let bytes = body.collect(MAX_BUFFERED_BODY_BYTES).await?;
+            Ok((bytes, body.allows_reuse()))
         };
         let gap = Duration::from_millis(self.dispatch.token_gap_ms);
         let limit = deadline.min(Instant::now() + gap);
-        let read = timeout_at(limit, read).await.map_err(|_| self.silent())?;
-        read.map_err(|error| self.lost(&error))
+        let read = timeout_at(limit, read)
+            .await
+            .map_err(|_| self.timeout_failure())?;
+        read.map_err(|error| self.failure(&error))
     }
 
     /// Decides what a whole response means.
-    fn judge(&self, head: &ResponseHead, answer: &AnswerHead, body: Bytes) -> AttemptEnd {
+    fn classify_response(
+        &self,
+        head: &ResponseHead,
+        answer: &AnswerHead,
+        body: Bytes,
+    ) -> AttemptEnd {
         let status = head.status;
-        let refuses = answer.is_not_run && (status.is_server_error() || is_promise(status));
+        let refuses = answer.is_not_run && (status.is_server_error() || implies_not_run(status));
         if refuses || status == StatusCode::MISDIRECTED_REQUEST {
             let status = status.as_u16();
             return Failure::RefusedByUpstream { status }.into();
         }
-        if status.is_success() && !is_genuine(head, answer) {
-            return self.garbled("a success without signature").into();
+        if status.is_success() && !is_authentic(head, answer) {
+            return self.invalid_response("a success without signature").into();
         }
-        if status.is_server_error() || is_promise(status) {
+        if status.is_server_error() || implies_not_run(status) {
             // A status that says "not run" would be untrue without the upstream's word.
-            let held = (!is_promise(status)).then(|| response_of(head, body));
+            let error_response = (!implies_not_run(status)).then(|| to_caller_response(head, body));
             let status = status.as_u16();
-            return AttemptEnd::Failed(Failure::UpstreamError { status }, held);
+            return AttemptEnd::Failed(Failure::UpstreamError { status }, error_response);
         }
-        AttemptEnd::Finished(self.outcome(), Some(response_of(head, body)))
+        AttemptEnd::Finished(self.attempt_outcome(), Some(to_caller_response(head, body)))
     }
 
     /// Passes a stream on, event by event.
-    async fn stream(
+    async fn forward_stream(
         &mut self,
         connection: &mut Connection,
         head: &ResponseHead,
@@ -245,14 +254,14 @@
         let mut is_first = true;
         let mut events = EventReader::default();
         let body = connection.body(&self.parts.method, head);
-        let mut body = body.map_err(|error| self.lost(&error))?;
+        let mut body = body.map_err(|error| self.failure(&error))?;
         loop {
             let limit_ms = if is_first {
                 self.dispatch.first_token_ms
             } else {
                 self.dispatch.token_gap_ms
             };
-            let deadline = if self.progress.is_started {
+            let deadline = if self.progress.is_stream_started {
                 stream_deadline
             } else {
                 deadline
@@ -260,10 +269,12 @@
             let limit = deadline.min(last + Duration::from_millis(limit_ms));
             let read = timeout_at(limit, body.next()).await;
             let bytes = match read {
-                Err(_) => return Err(self.silent()),
-                Ok(Err(error)) => return Err(self.lost(&error)),
+                Err(_) => return Err(self.timeout_failure()),
+                Ok(Err(error)) => return Err(self.failure(&error)),
                 Ok(Ok(Some(bytes))) => bytes,
-                Ok(Ok(None)) if events.has_rest() => return Err(self.lost(&ReadError::Ended)),
+                Ok(Ok(None)) if events.has_partial() => {
+                    return Err(self.failure(&ReadError::Ended));
+                }
                 Ok(Ok(None)) => break,
             };
             events.push(&bytes);
@@ -281,53 +292,55 @@
                     continue;
                 }
                 self.progress.last_event_id = event.id.or(self.progress.last_event_id);
-                self.progress.tokens += form.tokens_per_event;
-                self.progress.is_started = true;
-                self.reply.event(|| stream_head(head), event.bytes).await;
+                self.progress.forwarded_tokens += form.tokens_per_event;
+                self.progress.is_stream_started = true;
+                self.reply
+                    .send_event(|| to_caller_head(head), event.bytes)
+                    .await;
             }
         }
-        let outcome = self.outcome();
-        if self.progress.is_started {
+        let outcome = self.attempt_outcome();
+        if self.progress.is_stream_started {
             self.reply.finish();
             return Ok(AttemptEnd::Finished(outcome, None));
         }
-        let empty = response_of(head, Bytes::new());
+        let empty = to_caller_response(head, Bytes::new());
         Ok(AttemptEnd::Finished(outcome, Some(empty)))
     }
 
     /// Describes a complete response.
-    fn outcome(&self) -> AttemptOutcome {
+    fn attempt_outcome(&self) -> AttemptOutcome {
         AttemptOutcome {
             prompt_tokens: self.head.prompt_tokens,
-            answer_tokens: self.progress.tokens,
+            answer_tokens: self.progress.forwarded_tokens,
             ..AttemptOutcome::default()
         }
     }
 
     /// Describes an upstream that said nothing for too long.
-    fn silent(&self) -> Failure {
+    fn timeout_failure(&self) -> Failure {
         Failure::Silent {
-            answer_tokens: self.progress.tokens,
-            forwarded: self.progress.is_started,
+            answer_tokens: self.progress.forwarded_tokens,
+            forwarded: self.progress.is_stream_started,
         }
     }
 
     /// Describes a response that broke off.
-    fn lost(&self, error: &ReadError) -> Failure {
+    fn failure(&self, error: &ReadError) -> Failure {
         if let ReadError::Malformed { reason } = error {
-            return self.garbled(reason);
+            return self.invalid_response(reason);
         }
         let upstream = &self.dispatch.upstream;
         let attempt = self.dispatch.attempt;
         tracing::info!(%attempt, %upstream, "upstream: response lost ({error})");
         Failure::ConnectionLost {
-            answer_tokens: self.progress.tokens,
-            forwarded: self.progress.is_started,
+            answer_tokens: self.progress.forwarded_tokens,
+            forwarded: self.progress.is_stream_started,
         }
     }
 
     /// Describes bytes that are no response to the request.
-    fn garbled(&self, reason: &str) -> Failure {
+    fn invalid_response(&self, reason: &str) -> Failure {
         let upstream = &self.dispatch.upstream;
         let attempt = self.dispatch.attempt;
         tracing::warn!(%attempt, %upstream, "upstream: response cannot be used ({reason})");
@@ -342,7 +355,7 @@
 struct KeepAlive(Option<u64>);
 
 /// Returns whether a status promises that the request did not run.
-fn is_promise(status: StatusCode) -> bool {
+fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
@@ -353,27 +366,27 @@
 }
 
 /// Returns whether a success is the upstream's own.
-fn is_genuine(head: &ResponseHead, answer: &AnswerHead) -> bool {
+fn is_authentic(head: &ResponseHead, answer: &AnswerHead) -> bool {
     answer.is_signed && !head.headers.contains_key(header::CONTENT_ENCODING)
 }
 
 /// Makes the response for the caller from that of an upstream.
-fn response_of(head: &ResponseHead, body: Bytes) -> Response<RelayBody> {
-    Response::from_parts(stream_head(head), RelayBody::whole(body))
+fn to_caller_response(head: &ResponseHead, body: Bytes) -> Response<RelayBody> {
+    Response::from_parts(to_caller_head(head), RelayBody::whole(body))
 }
 
 /// Makes the head for the caller from that of an upstream.
 ///
 /// Headers that concern the connection to the upstream, and its framing, are left out.
-fn stream_head(head: &ResponseHead) -> response::Parts {
+fn to_caller_head(head: &ResponseHead) -> response::Parts {
     let (mut parts, ()) = Response::new(()).into_parts();
     parts.status = head.status;
-    parts.headers = end_to_end(&head.headers);
+    parts.headers = end_to_end_headers(&head.headers);
     parts
 }
 
 /// Returns the headers that do not concern one connection.
-fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
     for name in [
         header::CONNECTION,
--- a/crates/relay/src/call/mod.rs
+++ b/crates/relay/src/call/mod.rs
@@ -5,5 +5,5 @@
 mod request;
 mod task;
 
-pub(crate) use reply::{Outcome, RelayBody, Reply, caller};
-pub(crate) use task::{CallTask, NewTask, own_response};
+pub(crate) use reply::{CallerResponse, RelayBody, Reply, caller_guard};
+pub(crate) use task::{CallContext, CallTask, to_response};
--- a/crates/relay/src/call/reply.rs
+++ b/crates/relay/src/call/reply.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Events that may wait for a slow caller.
-const WAITING_EVENTS: usize = 32;
+const MAX_QUEUED_EVENTS: usize = 32;
 
 /// A stream ended before it was complete; the connection to the caller has to break.
 #[derive(Debug, Display, Error)]
@@ -21,7 +21,7 @@
 pub(crate) struct BrokenStream;
 
 /// Events for a caller.
-type Events = mpsc::Sender<Result<Bytes, BrokenStream>>;
+type EventSender = mpsc::Sender<Result<Bytes, BrokenStream>>;
 
 /// The body of a response to a caller.
 #[derive(Debug)]
@@ -75,24 +75,24 @@
 /// Held for as long as the caller waits.
 #[derive(Debug, Clone)]
 pub(crate) struct CallerGuard {
-    _held: Arc<oneshot::Sender<Infallible>>,
+    _sender: Arc<oneshot::Sender<Infallible>>,
 }
 
 /// Fails when the caller has left, and never resolves otherwise.
-pub(crate) type CallerGone = oneshot::Receiver<Infallible>;
+pub(crate) type CallerDisconnected = oneshot::Receiver<Infallible>;
 
 /// Makes the guard of a caller.
-pub(crate) fn caller() -> (CallerGuard, CallerGone) {
-    let (held, gone) = oneshot::channel();
+pub(crate) fn caller_guard() -> (CallerGuard, CallerDisconnected) {
+    let (sender, disconnected) = oneshot::channel();
     let guard = CallerGuard {
-        _held: Arc::new(held),
+        _sender: Arc::new(sender),
     };
-    (guard, gone)
+    (guard, disconnected)
 }
 
 /// What the front end has to send to a caller.
 #[derive(Debug)]
-pub(crate) enum Outcome {
+pub(crate) enum CallerResponse {
     /// A whole response.
     Whole(Response<RelayBody>),
     /// The head of a stream, with its events.
@@ -102,40 +102,40 @@
 /// The response of a call, as its task gives it.
 #[derive(Debug)]
 pub(crate) struct Reply {
-    outcome: Option<oneshot::Sender<Outcome>>,
-    events: Option<Events>,
+    response_sender: Option<oneshot::Sender<CallerResponse>>,
+    events: Option<EventSender>,
 }
 
 impl Reply {
     /// Makes a reply and the end at which the front end waits for it.
-    pub fn new() -> (Self, oneshot::Receiver<Outcome>) {
-        let (outcome, waiter) = oneshot::channel();
+    pub fn new() -> (Self, oneshot::Receiver<CallerResponse>) {
+        let (response_sender, waiter) = oneshot::channel();
         let reply = Self {
-            outcome: Some(outcome),
+            response_sender: Some(response_sender),
             events: None,
         };
         (reply, waiter)
     }
 
     /// Gives a whole response; one that comes after the start of a stream breaks it off.
-    pub async fn whole(&mut self, response: Response<RelayBody>) {
+    pub async fn send_whole(&mut self, response: Response<RelayBody>) {
         if let Some(events) = self.events.take() {
             // A caller that has left needs no sign.
             let _ = events.send(Err(BrokenStream)).await;
             return;
         }
-        if let Some(outcome) = self.outcome.take() {
-            let _ = outcome.send(Outcome::Whole(response));
+        if let Some(response_sender) = self.response_sender.take() {
+            let _ = response_sender.send(CallerResponse::Whole(response));
         }
     }
 
     /// Passes an event on, after the head if it is the first one.
-    pub async fn event(&mut self, head: impl FnOnce() -> Parts, event: Bytes) {
-        if let Some(outcome) = self.outcome.take() {
-            let (events, receiver) = mpsc::channel(WAITING_EVENTS);
+    pub async fn send_event(&mut self, head: impl FnOnce() -> Parts, event: Bytes) {
+        if let Some(response_sender) = self.response_sender.take() {
+            let (events, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
             self.events = Some(events);
             // A caller that has left is noticed by its guard.
-            let _ = outcome.send(Outcome::Stream(Box::new(head()), receiver));
+            let _ = response_sender.send(CallerResponse::Stream(Box::new(head()), receiver));
         }
         if let Some(events) = &self.events {
             let _ = events.send(Ok(event)).await;
--- a/crates/relay/src/call/request.rs
+++ b/crates/relay/src/call/request.rs
@@ -5,13 +5,13 @@
 use http::{HeaderMap, Method};
 
 /// Room for the head of a request.
-const HEAD_BYTES: usize = 1_024;
+const HEAD_CAPACITY_BYTES: usize = 1_024;
 
 /// Writes a request with its body as a whole.
 ///
 /// The body always has a length, so that nothing in it can pass for another request.
-pub(super) fn write(parts: &Parts, headers: &HeaderMap, body: &Bytes) -> Bytes {
-    let mut text = BytesMut::with_capacity(HEAD_BYTES + body.len());
+pub(super) fn encode_request(parts: &Parts, headers: &HeaderMap, body: &Bytes) -> Bytes {
+    let mut text = BytesMut::with_capacity(HEAD_CAPACITY_BYTES + body.len());
     text.put_slice(parts.method.as_str().as_bytes());
     text.put_u8(b' ');
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
--- a/crates/relay/src/daemon.rs
+++ b/crates/relay/src/daemon.rs
@@ -18,12 +18,12 @@
 use crate::adapter::{Dialect, FleetStore};
 use crate::charges::ChargeWriter;
 use crate::control::{Message, Outlets, Queues};
-use crate::front::{Door, Doors, Shared, serve};
+use crate::front::{ConnectionTracker, ListenerKind, SharedState, serve};
 use crate::metrics::Metrics;
 use crate::peers::{SnapshotServer, StateRpcServer, fetch, receive};
 use crate::settings::RelaySettings;
 use crate::store::{KnownRecords, Registration, Role, Source};
-use crate::upstream::{Pool, probe};
+use crate::upstream::{Pool, run_probes};
 
 /// Interval at which idle connections to upstreams are checked for expiry.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
@@ -56,7 +56,7 @@
 /// A running daemon that relays calls.
 #[derive(Debug)]
 pub struct Relay<D, C> {
-    shared: Arc<Shared<D, C>>,
+    shared: Arc<SharedState<D, C>>,
     address: SocketAddr,
     ready_address: SocketAddr,
     control: JoinHandle<()>,
@@ -64,7 +64,7 @@
     _peers: ServerHandle,
     /// Tasks that are aborted when the daemon stops.
     background: JoinSet<()>,
-    doors: Doors,
+    doors: ConnectionTracker,
     /// Tells connections to close after their current response.
     closing: watch::Sender<bool>,
     grace: Duration,
@@ -112,11 +112,11 @@
             keepers,
             status,
         } = queues;
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(SharedState {
             dialect,
             clock: clock.clone(),
             inputs: inputs.clone(),
-            ids: CallIds::new(core.incarnation),
+            call_ids: CallIds::new(core.incarnation),
             pool: Arc::new(Pool::default()),
             metrics: Arc::clone(&metrics),
             status,
@@ -124,8 +124,8 @@
             max_body_bytes: settings.max_body_bytes,
         });
         let (closing, is_closing) = watch::channel(false);
-        let doors = Doors {
-            open: Arc::new(AtomicUsize::new(0)),
+        let doors = ConnectionTracker {
+            open_connections: Arc::new(AtomicUsize::new(0)),
             closing: is_closing,
         };
         let sender = format!("{}@{}", core.vm, core.incarnation);
@@ -145,17 +145,22 @@
         background.spawn(runner.run(source));
         background.spawn(fetch(snapshots, inputs.clone()));
         let pool = Arc::clone(&shared.pool);
-        background.spawn(probe(probes, pool, inputs.clone(), Arc::clone(&metrics)));
+        background.spawn(run_probes(
+            probes,
+            pool,
+            inputs.clone(),
+            Arc::clone(&metrics),
+        ));
         background.spawn(receive(receiver, inputs, metrics));
         background.spawn(expire(Arc::clone(&shared.pool)));
         let mut serve = |listener, door| {
             background.spawn(serve(listener, door, Arc::clone(&shared), doors.clone()));
         };
-        serve(front, Door::Calls);
-        serve(ready, Door::Readiness);
+        serve(front, ListenerKind::Calls);
+        serve(ready, ListenerKind::Readiness);
         if let Some(address) = settings.metrics_listen {
             match TcpListener::bind(address).await {
-                Ok(listener) => serve(listener, Door::Readiness),
+                Ok(listener) => serve(listener, ListenerKind::Readiness),
                 Err(error) => tracing::warn!(%address, "metrics: listener not opened ({error})"),
             }
         }
@@ -192,7 +197,7 @@
     let mut ticks = interval(EXPIRE_INTERVAL);
     loop {
         ticks.tick().await;
-        pool.expire();
+        pool.close_expired();
     }
 }
 
@@ -255,6 +260,6 @@
 
     /// Returns the number of open connections.
     fn open(&self) -> usize {
-        self.doors.open.load(Ordering::Relaxed)
+        self.doors.open_connections.load(Ordering::Relaxed)
     }
 }
--- a/crates/relay/src/front/mod.rs
+++ b/crates/relay/src/front/mod.rs
@@ -4,6 +4,6 @@
 mod service;
 mod shared;
 
-pub(crate) use listener::{Doors, serve};
-pub(crate) use service::Door;
-pub(crate) use shared::Shared;
+pub(crate) use listener::{ConnectionTracker, serve};
+pub(crate) use service::ListenerKind;
+pub(crate) use shared::SharedState;
--- a/crates/relay/src/front/service.rs
+++ b/crates/relay/src/front/service.rs
@@ -16,26 +16,28 @@
 use sha2::{Digest, Sha256};
 use tokio::sync::mpsc;
 
-use super::Shared;
+use super::SharedState;
 use crate::adapter::{CallHead, Dialect};
-use crate::call::{CallTask, NewTask, Outcome, RelayBody, Reply, caller, own_response};
+use crate::call::{
+    CallContext, CallTask, CallerResponse, RelayBody, Reply, caller_guard, to_response,
+};
 use crate::control::Message;
 
 /// Outputs that a call may have waiting.
-const CALL_OUTPUTS: usize = 8;
+const MAX_QUEUED_OUTPUTS: usize = 8;
 
 /// How long a caller waits that does not say so.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
 /// Time kept for the way of an answer to the caller.
-const ANSWER_MARGIN_MS: u64 = 20;
+const RESPONSE_MARGIN_MS: u64 = 20;
 
 /// The path at which metrics are served.
 const METRICS_PATH: &str = "/metrics";
 
 /// Who calls at a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Door {
+pub(crate) enum ListenerKind {
     /// Callers.
     Calls,
     /// The load balancer, and the reader of metrics.
@@ -43,21 +45,24 @@
 }
 
 /// Answers one request.
-pub(super) async fn answer<D: Dialect, C: Clock>(
-    shared: Arc<Shared<D, C>>,
-    door: Door,
+pub(super) async fn handle_request<D: Dialect, C: Clock>(
+    shared: Arc<SharedState<D, C>>,
+    kind: ListenerKind,
     request: Request<Incoming>,
 ) -> Result<Response<RelayBody>, Infallible> {
-    Ok(match door {
-        Door::Readiness => readiness(&shared, request.uri().path()),
-        Door::Calls => relay(shared, request).await,
+    Ok(match kind {
+        ListenerKind::Readiness => readiness_response(&shared, request.uri().path()),
+        ListenerKind::Calls => relay_call(shared, request).await,
     })
 }
 
 /// Tells the load balancer whether this VM may get calls.
-fn readiness<D: Dialect, C>(shared: &Shared<D, C>, path: &str) -> Response<RelayBody> {
+fn readiness_response<D: Dialect, C>(
+    shared: &SharedState<D, C>,
+    path: &str,
+) -> Response<RelayBody> {
     if path == METRICS_PATH {
-        return metrics(shared);
+        return metrics_response(shared);
     }
     let is_draining = shared.is_draining.load(Ordering::Relaxed);
     let is_ready = shared.status.borrow().is_ready && !is_draining;
@@ -66,41 +71,41 @@
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
     };
-    plain(status, Bytes::new())
+    plain_response(status, Bytes::new())
 }
 
 /// Serves the metrics as text.
-fn metrics<D, C>(shared: &Shared<D, C>) -> Response<RelayBody> {
+fn metrics_response<D, C>(shared: &SharedState<D, C>) -> Response<RelayBody> {
     match shared.metrics.to_text() {
-        Ok(text) => plain(StatusCode::OK, Bytes::from(text)),
+        Ok(text) => plain_response(StatusCode::OK, Bytes::from(text)),
         Err(error) => {
             tracing::error!("metrics: cannot be written ({error})");
-            plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
+            plain_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
         }
     }
 }
 
 /// Makes a response without headers.
-fn plain(status: StatusCode, body: Bytes) -> Response<RelayBody> {
+fn plain_response(status: StatusCode, body: Bytes) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::whole(body));
     *response.status_mut() = status;
     response
 }
 
 /// Relays a call of a caller.
-async fn relay<D: Dialect, C: Clock>(
-    shared: Arc<Shared<D, C>>,
+async fn relay_call<D: Dialect, C: Clock>(
+    shared: Arc<SharedState<D, C>>,
     request: Request<Incoming>,
 ) -> Response<RelayBody> {
     shared.metrics.count_request();
     let arrived_us = shared.clock.now_us();
-    let call = shared.ids.next();
+    let call = shared.call_ids.next();
     let (parts, body) = request.into_parts();
     let head = match shared.dialect.decode(&parts) {
         Ok(head) => head,
         Err(error) => {
             tracing::info!(%call, "front: request refused ({error})");
-            return refuse(&shared, call, RefusalKind::Malformed);
+            return refuse_call(&shared, call, RefusalKind::Malformed);
         }
     };
     let body = match read_body(body, shared.body_limit()).await {
@@ -108,35 +113,37 @@
         Err(kind) => {
             let request = head.request_id.as_deref().unwrap_or("-");
             tracing::info!(request, %call, "front: body refused as {kind}");
-            return refuse(&shared, call, kind);
+            return refuse_call(&shared, call, kind);
         }
     };
-    let (outputs_sender, outputs) = mpsc::channel(CALL_OUTPUTS);
+    let (outputs_sender, outputs) = mpsc::channel(MAX_QUEUED_OUTPUTS);
     let open = Message::Open {
         call,
         request: head.request_id.clone().unwrap_or_else(|| "-".into()),
-        input: Input::CallArrived(Box::new(describe(call, arrived_us, &parts, &head, &body))),
+        input: Input::CallArrived(Box::new(to_new_call(
+            call, arrived_us, &parts, &head, &body,
+        ))),
         outputs: outputs_sender,
     };
     if shared.inputs.try_send(open).is_err() {
         tracing::warn!(%call, "front: request refused, the input queue is full");
-        return refuse(&shared, call, RefusalKind::Overloaded);
+        return refuse_call(&shared, call, RefusalKind::Overloaded);
     }
-    let (reply, outcome) = Reply::new();
-    let (guard, gone) = caller();
-    let task = NewTask {
+    let (reply, response) = Reply::new();
+    let (guard, disconnected) = caller_guard();
+    let context = CallContext {
         call,
         parts,
         body,
         head,
         outputs,
         reply,
-        gone,
+        disconnected,
     };
-    tokio::spawn(CallTask::new(Arc::clone(&shared), task).run());
-    match outcome.await {
-        Ok(Outcome::Whole(response)) => response,
-        Ok(Outcome::Stream(head, events)) => {
+    tokio::spawn(CallTask::new(Arc::clone(&shared), context).run());
+    match response.await {
+        Ok(CallerResponse::Whole(response)) => response,
+        Ok(CallerResponse::Stream(head, events)) => {
             let body = RelayBody::Events {
                 events,
                 _guard: guard,
@@ -145,7 +152,7 @@
         }
         Err(_) => {
             tracing::error!(%call, "call: ended without an answer");
-            plain(StatusCode::BAD_GATEWAY, Bytes::new())
+            plain_response(StatusCode::BAD_GATEWAY, Bytes::new())
         }
     }
 }
@@ -160,7 +167,7 @@
 }
 
 /// Describes a call to the core.
-fn describe(
+fn to_new_call(
     call: CallId,
     arrived_us: u64,
     parts: &Parts,
@@ -169,8 +176,8 @@
 ) -> NewCall {
     let timeout_ms = head.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
     let relayed = RelayedCall::builder()
-        .deadline_us(arrived_us + timeout_ms.saturating_sub(ANSWER_MARGIN_MS) * 1_000)
-        .spread(spread_of(head))
+        .deadline_us(arrived_us + timeout_ms.saturating_sub(RESPONSE_MARGIN_MS) * 1_000)
+        .spread(spread_hash(head))
         .maybe_model(head.model.clone())
         .maybe_program(head.program.clone())
         .maybe_line(head.line)
@@ -191,7 +198,7 @@
 }
 
 /// Returns a number that spreads requests over the backends of a route.
-fn spread_of(head: &CallHead) -> u64 {
+fn spread_hash(head: &CallHead) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     head.request_id.hash(&mut hasher);
@@ -215,13 +222,13 @@
 }
 
 /// Refuses a call that the core has not seen.
-fn refuse<D: Dialect, C>(
-    shared: &Shared<D, C>,
+fn refuse_call<D: Dialect, C>(
+    shared: &SharedState<D, C>,
     call: CallId,
     kind: RefusalKind,
 ) -> Response<RelayBody> {
     shared.metrics.count_refusal(kind);
-    own_response(shared.dialect.refuse(&Refusal {
+    to_response(shared.dialect.refuse(&Refusal {
         call,
         kind,
         ran: Execution::NotRun,
--- a/crates/relay/src/front/shared.rs
+++ b/crates/relay/src/front/shared.rs
@@ -12,11 +12,11 @@
 
 /// What all requests share.
 #[derive(Debug)]
-pub(crate) struct Shared<D, C> {
+pub(crate) struct SharedState<D, C> {
     pub dialect: D,
     pub clock: C,
     pub inputs: InputSender,
-    pub ids: CallIds,
+    pub call_ids: CallIds,
     pub pool: Arc<Pool>,
     pub metrics: Arc<Metrics>,
     pub status: watch::Receiver<Status>,
@@ -26,7 +26,7 @@
     pub max_body_bytes: usize,
 }
 
-impl<D, C> Shared<D, C> {
+impl<D, C> SharedState<D, C> {
     /// Returns the longest body of a request.
     pub fn body_limit(&self) -> usize {
         match self.status.borrow().body_bytes {
--- a/crates/relay/src/upstream/body.rs
+++ b/crates/relay/src/upstream/body.rs
@@ -7,17 +7,17 @@
 
 /// How much of a body is left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Left {
+enum Remaining {
     /// This many bytes.
     Length(u64),
     /// Chunks: bytes left of the present one, with the line end after it.
     Chunk(u64),
     /// A chunk begins with its length.
-    ChunkHead,
+    ChunkSize,
     /// Trailers, up to an empty line.
     Trailers,
     /// All bytes up to the end of the connection.
-    UntilEnd,
+    UntilClose,
     /// Nothing.
     Nothing,
 }
@@ -26,8 +26,8 @@
 #[derive(Debug)]
 pub(crate) struct Body<'a> {
     connection: &'a mut Connection,
-    left: Left,
-    is_until_end: bool,
+    remaining: Remaining,
+    is_close_delimited: bool,
 }
 
 impl<'a> Body<'a> {
@@ -37,41 +37,43 @@
         method: &Method,
         head: &ResponseHead,
     ) -> Result<Self, ReadError> {
-        let left = framing(method, head)?;
+        let remaining = detect_framing(method, head)?;
         Ok(Self {
             connection,
-            left,
-            is_until_end: left == Left::UntilEnd,
+            remaining,
+            is_close_delimited: remaining == Remaining::UntilClose,
         })
     }
 
     /// Returns whether the connection can be used again after the body was read.
     ///
     /// Bytes after the body belong to no request and spoil the connection.
-    pub fn is_clean(&self) -> bool {
-        self.left == Left::Nothing && !self.is_until_end && self.connection.buffer.is_empty()
+    pub fn allows_reuse(&self) -> bool {
+        self.remaining == Remaining::Nothing
+            && !self.is_close_delimited
+            && self.connection.buffer.is_empty()
     }
 
     /// Reads the next bytes; `None` at the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
         loop {
-            match self.left {
-                Left::Nothing => return Ok(None),
-                Left::Length(0) => self.left = Left::Nothing,
-                Left::Length(bytes) => {
-                    let part = self.part(bytes).await?;
-                    self.left = Left::Length(bytes - part.len() as u64);
+            match self.remaining {
+                Remaining::Nothing => return Ok(None),
+                Remaining::Length(0) => self.remaining = Remaining::Nothing,
+                Remaining::Length(bytes) => {
+                    let part = self.read_part(bytes).await?;
+                    self.remaining = Remaining::Length(bytes - part.len() as u64);
                     return Ok(Some(part));
                 }
-                Left::UntilEnd => return self.until_end().await,
-                Left::ChunkHead => self.chunk_head().await?,
-                Left::Chunk(0) => self.line_end().await?,
-                Left::Chunk(bytes) => {
-                    let part = self.part(bytes).await?;
-                    self.left = Left::Chunk(bytes - part.len() as u64);
+                Remaining::UntilClose => return self.read_until_close().await,
+                Remaining::ChunkSize => self.read_chunk_size().await?,
+                Remaining::Chunk(0) => self.read_chunk_end().await?,
+                Remaining::Chunk(bytes) => {
+                    let part = self.read_part(bytes).await?;
+                    self.remaining = Remaining::Chunk(bytes - part.len() as u64);
                     return Ok(Some(part));
                 }
-                Left::Trailers => self.trailer().await?,
+                Remaining::Trailers => self.read_trailer().await?,
             }
         }
     }
@@ -93,7 +95,7 @@
     }
 
     /// Returns bytes that have come, at most this many.
-    async fn part(&mut self, most: u64) -> Result<Bytes, ReadError> {
+    async fn read_part(&mut self, most: u64) -> Result<Bytes, ReadError> {
         if self.connection.buffer.is_empty() && self.connection.fill().await? == 0 {
             return Err(ReadError::Ended);
         }
@@ -103,25 +105,25 @@
     }
 
     /// Returns the next bytes of a body that ends with its connection.
-    async fn until_end(&mut self) -> Result<Option<Bytes>, ReadError> {
+    async fn read_until_close(&mut self) -> Result<Option<Bytes>, ReadError> {
         if self.connection.buffer.is_empty() && self.connection.fill().await? == 0 {
-            self.left = Left::Nothing;
+            self.remaining = Remaining::Nothing;
             return Ok(None);
         }
         Ok(Some(self.connection.buffer.split().freeze()))
     }
 
     /// Reads the length of a chunk.
-    async fn chunk_head(&mut self) -> Result<(), ReadError> {
+    async fn read_chunk_size(&mut self) -> Result<(), ReadError> {
         loop {
             let parsed = httparse::parse_chunk_size(&self.connection.buffer);
             let parsed = parsed.map_err(|_| ReadError::malformed("a chunk has no length"))?;
             if let httparse::Status::Complete((head, bytes)) = parsed {
                 let _ = self.connection.buffer.split_to(head);
-                self.left = if bytes == 0 {
-                    Left::Trailers
+                self.remaining = if bytes == 0 {
+                    Remaining::Trailers
                 } else {
-                    Left::Chunk(bytes)
+                    Remaining::Chunk(bytes)
                 };
                 return Ok(());
             }
@@ -132,25 +134,25 @@
     }
 
     /// Reads the line end after a chunk.
-    async fn line_end(&mut self) -> Result<(), ReadError> {
-        let line = self.line().await?;
+    async fn read_chunk_end(&mut self) -> Result<(), ReadError> {
+        let line = self.read_line().await?;
         if !line.is_empty() {
             return Err(ReadError::malformed("a chunk is longer than it says"));
         }
-        self.left = Left::ChunkHead;
+        self.remaining = Remaining::ChunkSize;
         Ok(())
     }
 
     /// Reads one trailer, or the empty line at the end.
-    async fn trailer(&mut self) -> Result<(), ReadError> {
-        if self.line().await?.is_empty() {
-            self.left = Left::Nothing;
+    async fn read_trailer(&mut self) -> Result<(), ReadError> {
+        if self.read_line().await?.is_empty() {
+            self.remaining = Remaining::Nothing;
         }
         Ok(())
     }
 
     /// Reads a line without its end.
-    async fn line(&mut self) -> Result<Bytes, ReadError> {
+    async fn read_line(&mut self) -> Result<Bytes, ReadError> {
         loop {
             let at = self
                 .connection
@@ -170,22 +172,22 @@
 }
 
 /// Finds the framing of a body.
-fn framing(method: &Method, head: &ResponseHead) -> Result<Left, ReadError> {
+fn detect_framing(method: &Method, head: &ResponseHead) -> Result<Remaining, ReadError> {
     let has_none = method == Method::HEAD
         || head.status == StatusCode::NO_CONTENT
         || head.status == StatusCode::NOT_MODIFIED;
     if has_none {
-        return Ok(Left::Nothing);
+        return Ok(Remaining::Nothing);
     }
     if let Some(coding) = head.headers.get(header::TRANSFER_ENCODING) {
         if coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
-            return Ok(Left::ChunkHead);
+            return Ok(Remaining::ChunkSize);
         }
         return Err(ReadError::malformed("the transfer coding is not known"));
     }
     match content_length(&head.headers)? {
-        Some(bytes) => Ok(Left::Length(bytes)),
-        None => Ok(Left::UntilEnd),
+        Some(bytes) => Ok(Remaining::Length(bytes)),
+        None => Ok(Remaining::UntilClose),
     }
 }
 
--- a/crates/relay/src/upstream/connection.rs
+++ b/crates/relay/src/upstream/connection.rs
@@ -15,7 +15,7 @@
 const MAX_HEADERS: usize = 96;
 
 /// Bytes that are read at once.
-const READ_BYTES: usize = 16_384;
+const READ_BUFFER_BYTES: usize = 16_384;
 
 /// Why a response could not be read.
 #[derive(Debug, Display, Error)]
@@ -69,7 +69,7 @@
     /// The head of the response.
     pub head: ResponseHead,
     /// Whether the whole request was sent before the response came.
-    pub is_sent: bool,
+    pub is_request_complete: bool,
 }
 
 impl Connection {
@@ -82,7 +82,7 @@
     }
 
     /// Returns whether an idle connection is open and no bytes have come.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle_and_open(&self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
         self.buffer.is_empty()
@@ -97,7 +97,7 @@
         let mut sent = 0;
         let mut write_error = None;
         while sent < request.len() && write_error.is_none() {
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(READ_BUFFER_BYTES);
             tokio::select! {
                 biased;
                 read = reader.read_buf(&mut self.buffer) => match read {
@@ -113,7 +113,10 @@
         }
         let is_sent = sent == request.len();
         match self.read_head().await {
-            Ok(head) => Ok(Exchange { head, is_sent }),
+            Ok(head) => Ok(Exchange {
+                head,
+                is_request_complete: is_sent,
+            }),
             // Where both failed, the write failed first and says why.
             Err(error) => Err(write_error.map_or(error, |source| ReadError::Broken { source })),
         }
@@ -146,7 +149,7 @@
 
     /// Reads more bytes; 0 at the end of the connection.
     pub(super) async fn fill(&mut self) -> Result<usize, ReadError> {
-        self.buffer.reserve(READ_BYTES);
+        self.buffer.reserve(READ_BUFFER_BYTES);
         self.stream
             .read_buf(&mut self.buffer)
             .await
@@ -169,9 +172,9 @@
         .and_then(|code| StatusCode::from_u16(code).ok());
     let status = status.ok_or(ReadError::malformed("the status is no number"))?;
     let mut map = HeaderMap::with_capacity(response.headers.len());
-    for row in response.headers.iter() {
-        let name = HeaderName::from_bytes(row.name.as_bytes());
-        let value = HeaderValue::from_bytes(row.value);
+    for field in response.headers.iter() {
+        let name = HeaderName::from_bytes(field.name.as_bytes());
+        let value = HeaderValue::from_bytes(field.value);
         let (Ok(name), Ok(value)) = (name, value) else {
             return Err(ReadError::malformed("a header cannot be read"));
         };
@@ -180,14 +183,14 @@
     let is_http_1_1 = response.version == Some(1);
     let head = ResponseHead {
         status,
-        is_keep_alive: is_http_1_1 && !says_close(&map),
+        is_keep_alive: is_http_1_1 && !has_close_option(&map),
         headers: map,
     };
     Ok(Some((head, bytes)))
 }
 
 /// Returns whether the sender closes the connection after the response.
-fn says_close(headers: &HeaderMap) -> bool {
+fn has_close_option(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
--- a/crates/relay/src/upstream/events.rs
+++ b/crates/relay/src/upstream/events.rs
@@ -16,7 +16,7 @@
 pub(crate) struct EventReader {
     buffer: BytesMut,
     /// Bytes at the start of the buffer that hold no end of an event.
-    searched: usize,
+    searched_len: usize,
 }
 
 impl EventReader {
@@ -27,21 +27,21 @@
 
     /// Returns the next whole event.
     pub fn next(&mut self) -> Option<Event> {
-        let end = self.find_end()?;
-        self.searched = 0;
+        let end = self.find_event_end()?;
+        self.searched_len = 0;
         let bytes = self.buffer.split_to(end).freeze();
-        let id = id_of(&bytes);
+        let id = parse_event_id(&bytes);
         Some(Event { bytes, id })
     }
 
     /// Returns whether the stream has ended within an event.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Finds the end of the first event: an empty line.
-    fn find_end(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
+    fn find_event_end(&mut self) -> Option<usize> {
+        let from = self.searched_len.saturating_sub(3);
         let rest = &self.buffer[from..];
         let at = rest.iter().enumerate().find_map(|(at, byte)| {
             let after = &rest[at + 1..];
@@ -51,13 +51,13 @@
                 _ => None,
             }
         });
-        self.searched = self.buffer.len();
+        self.searched_len = self.buffer.len();
         at.map(|at| from + at)
     }
 }
 
 /// Returns the identity that an event states.
-fn id_of(event: &[u8]) -> Option<u64> {
+fn parse_event_id(event: &[u8]) -> Option<u64> {
     event.split(|byte| *byte == b'\n').find_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/crates/relay/src/upstream/mod.rs
+++ b/crates/relay/src/upstream/mod.rs
@@ -12,4 +12,4 @@
 pub(crate) use body::Body;
 pub(crate) use connection::{Connection, ReadError, ResponseHead};
 pub(crate) use events::EventReader;
-pub(crate) use pool::{Pool, probe};
+pub(crate) use pool::{Pool, run_probes};
--- a/crates/relay/src/upstream/pool.rs
+++ b/crates/relay/src/upstream/pool.rs
@@ -21,7 +21,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time after which sent bytes that are not acknowledged break a connection.
-const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Idle time after which a connection is closed if the upstream states none.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
@@ -30,10 +30,10 @@
 const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// Idle time after which a call that may not be repeated gets a new connection.
-const FRESH: Duration = Duration::from_millis(2_500);
+const MAX_UNREPEATABLE_IDLE: Duration = Duration::from_millis(2_500);
 
 /// Idle connections to one upstream.
-const MAX_IDLE: usize = 24;
+const MAX_IDLE_PER_UPSTREAM: usize = 24;
 
 /// No connection to an upstream could be made.
 #[derive(Debug, Display, Error)]
@@ -46,32 +46,32 @@
     },
     /// The upstream did not answer.
     #[display("the upstream did not answer in time")]
-    Silent,
+    TimedOut,
 }
 
 /// A connection that is not in use.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
 /// Connections to upstreams that are not in use, by address.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    idle: Mutex<HashMap<Arc<str>, Vec<Idle>>>,
+    idle: Mutex<HashMap<Arc<str>, Vec<IdleConnection>>>,
 }
 
 impl Pool {
     /// Returns a kept connection, or a new one.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         address: &Arc<str>,
         is_repeatable: bool,
         metrics: &Metrics,
     ) -> Result<Connection, ConnectError> {
-        if let Some(connection) = self.take_kept(address, is_repeatable) {
+        if let Some(connection) = self.take_idle(address, is_repeatable) {
             metrics.count_connection(false);
             return Ok(connection);
         }
@@ -80,48 +80,50 @@
     }
 
     /// Returns a kept connection that still works as far as can be seen.
-    fn take_kept(&self, address: &Arc<str>, is_repeatable: bool) -> Option<Connection> {
+    fn take_idle(&self, address: &Arc<str>, is_repeatable: bool) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let rows = idle.get_mut(address)?;
-        rows.retain(|row| row.until > now);
-        while let Some(row) = rows.pop() {
-            let is_fresh = is_repeatable || now.duration_since(row.since) < FRESH;
+        let connections = idle.get_mut(address)?;
+        connections.retain(|entry| entry.expires_at > now);
+        while let Some(entry) = connections.pop() {
+            let is_fresh =
+                is_repeatable || now.duration_since(entry.idle_since) < MAX_UNREPEATABLE_IDLE;
             // Bytes without a request, or an end, make a connection useless.
-            if is_fresh && row.connection.is_quiet() {
-                return Some(row.connection);
+            if is_fresh && entry.connection.is_idle_and_open() {
+                return Some(entry.connection);
             }
         }
         None
     }
 
     /// Keeps a connection for the next request.
-    pub fn keep(&self, address: &Arc<str>, connection: Connection, keep_alive_s: Option<u64>) {
+    pub fn put_idle(&self, address: &Arc<str>, connection: Connection, keep_alive_s: Option<u64>) {
         let now = Instant::now();
         let idle_time = keep_alive_s.map_or(IDLE_TIMEOUT, Duration::from_secs);
-        let until = now + idle_time.saturating_sub(IDLE_MARGIN);
-        if until <= now {
+        let expires_at = now + idle_time.saturating_sub(IDLE_MARGIN);
+        if expires_at <= now {
             return;
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let rows = idle.entry(Arc::clone(address)).or_default();
-        if rows.len() < MAX_IDLE {
-            rows.push(Idle {
+        let connections = idle.entry(Arc::clone(address)).or_default();
+        if connections.len() < MAX_IDLE_PER_UPSTREAM {
+            connections.push(IdleConnection {
                 connection,
-                since: now,
-                until,
+                idle_since: now,
+                expires_at,
             });
         }
     }
 
     /// Closes connections whose time is over.
-    pub fn expire(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        for rows in idle.values_mut() {
-            rows.retain(|row| row.until > now && row.connection.is_quiet());
+        for connections in idle.values_mut() {
+            connections
+                .retain(|entry| entry.expires_at > now && entry.connection.is_idle_and_open());
         }
-        idle.retain(|_, rows| !rows.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
 
@@ -130,42 +132,42 @@
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(source)) => return Err(ConnectError::Refused { source }),
-        Err(_) => return Err(ConnectError::Silent),
+        Err(_) => return Err(ConnectError::TimedOut),
     };
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!(address, "upstream: no-delay cannot be set ({error})");
     }
-    if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT)) {
+    if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)) {
         tracing::debug!(address, "upstream: user timeout cannot be set ({error})");
     }
     Ok(Connection::new(stream))
 }
 
 /// Connects to upstreams whose connections broke, and keeps the connections.
-pub(crate) async fn probe(
-    mut orders: mpsc::Receiver<ProbeOrder>,
+pub(crate) async fn run_probes(
+    mut requests: mpsc::Receiver<ProbeOrder>,
     pool: Arc<Pool>,
     inputs: InputSender,
     metrics: Arc<Metrics>,
 ) {
-    while let Some(order) = orders.recv().await {
+    while let Some(request) = requests.recv().await {
         let pool = Arc::clone(&pool);
         let inputs = inputs.clone();
         let metrics = Arc::clone(&metrics);
         tokio::spawn(async move {
             metrics.count_connection(true);
-            let state = match connect(&order.address).await {
+            let state = match connect(&request.address).await {
                 Ok(connection) => {
-                    pool.keep(&order.address, connection, None);
+                    pool.put_idle(&request.address, connection, None);
                     ProbeState::Up
                 }
                 Err(error) => {
-                    let upstream = &order.upstream;
+                    let upstream = &request.upstream;
                     tracing::info!(%upstream, "upstream: probe failed ({error})");
                     ProbeState::Down
                 }
             };
-            let upstream = order.upstream;
+            let upstream = request.upstream;
             inputs.input(Input::Probed { upstream, state }).await;
         });
     }
