--- a/crates/entry/src/call/attempt.rs
+++ b/crates/entry/src/call/attempt.rs
@@ -66,7 +66,7 @@
     progress: AttemptProgress,
 ) {
     let event = AttemptEvent { attempt, progress };
-    shared.inputs.input(Input::Attempt(event)).await;
+    shared.inputs.send_input(Input::Attempt(event)).await;
 }
 
 impl<C: Clock> Attempt<'_, C> {
--- a/crates/entry/src/call/task.rs
+++ b/crates/entry/src/call/task.rs
@@ -147,7 +147,7 @@
             }
             self.caller_gone = true;
             let abandoned = Input::CallAbandoned(self.new.call);
-            self.shared.inputs.input(abandoned).await;
+            self.shared.inputs.send_input(abandoned).await;
         }
         self.outputs.recv().await
     }
--- a/crates/entry/src/control/outlets.rs
+++ b/crates/entry/src/control/outlets.rs
@@ -12,7 +12,7 @@
     AttemptEvent, CallId, Charge, Control, Decision, Input, Output, StoreEvent, VmName,
 };
 use knapweeddale_peer::Peers;
-use knapweeddale_runtime::{ProbeOrder, order_probe};
+use knapweeddale_runtime::{ProbeRequest, request_probe};
 use tokio::sync::{mpsc, watch};
 
 use super::input::{CallOutput, Message};
@@ -31,7 +31,7 @@
     pub peers: Peers,
     pub views: mpsc::Sender<ViewOrder>,
     pub releases: mpsc::Sender<ReleaseOrder>,
-    pub probes: mpsc::Sender<ProbeOrder>,
+    pub probes: mpsc::Sender<ProbeRequest>,
     pub orders: mpsc::Sender<Order>,
     pub charges: mpsc::Sender<Charge>,
     pub status: watch::Sender<Status>,
@@ -140,7 +140,7 @@
             Output::Source(_) | Output::SendSummary { .. } | Output::AskSnapshot { .. } => {}
             Output::Probe(upstream) => {
                 self.echo
-                    .extend(order_probe(&self.probes, upstream, control));
+                    .extend(request_probe(&self.probes, upstream, control));
             }
             Output::Order(order) => self.order(*order),
             Output::Charge(charge) => self.charge(charge),
@@ -198,10 +198,10 @@
 }
 
 /// # Loop
-impl knapweeddale_runtime::Outlets for Outlets {
+impl knapweeddale_runtime::OutputHandler for Outlets {
     type Message = Message;
 
-    fn accept(
+    fn accept_message(
         &mut self,
         message: Message,
         _control: &Control,
@@ -233,19 +233,19 @@
         true
     }
 
-    fn carry(&mut self, output: Output, control: &Control, now_us: u64) {
+    fn handle_output(&mut self, output: Output, control: &Control, now_us: u64) {
         self.hand_over(output, control, now_us);
     }
 
-    fn refresh(&mut self, control: &Control, now_us: u64) {
+    fn publish_status(&mut self, control: &Control, now_us: u64) {
         self.publish(control, now_us);
     }
 
-    fn has_echo(&self) -> bool {
+    fn has_pending_inputs(&self) -> bool {
         !self.echo.is_empty()
     }
 
-    fn take_echo(&mut self) -> Vec<Input> {
+    fn take_pending_inputs(&mut self) -> Vec<Input> {
         std::mem::take(&mut self.echo)
     }
 
--- a/crates/entry/src/daemon/background.rs
+++ b/crates/entry/src/daemon/background.rs
@@ -5,7 +5,7 @@
 
 use knapweeddale_config::Settings;
 use knapweeddale_core::output::Order;
-use knapweeddale_runtime::{Clock, ProbeOrder};
+use knapweeddale_runtime::{Clock, ProbeRequest};
 use knapweeddale_store::{Counted, ObjectApi};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -23,7 +23,7 @@
 pub(super) struct Orders {
     pub views: mpsc::Receiver<ViewOrder>,
     pub releases: mpsc::Receiver<ReleaseOrder>,
-    pub probes: mpsc::Receiver<ProbeOrder>,
+    pub probes: mpsc::Receiver<ProbeRequest>,
     pub models: mpsc::Receiver<Order>,
 }
 
--- a/crates/entry/src/daemon/mod.rs
+++ b/crates/entry/src/daemon/mod.rs
@@ -32,7 +32,7 @@
 use crate::metrics::Metrics;
 use crate::store::{ChargeWriter, ViewOrder};
 use crate::upstream::{LastAlive, UpstreamClient};
-use knapweeddale_runtime::{CallIds, Clock, input_queue, new_incarnation, spawn};
+use knapweeddale_runtime::{CallIds, Clock, input_queue, new_incarnation, spawn_control_loop};
 use links::Links;
 use server::Server;
 
@@ -101,7 +101,7 @@
             settings.data_folder.clone(),
             Arc::clone(&shared.metrics),
         );
-        let control = spawn(Control::new(core), queue, links.outlets, clock)?;
+        let control = spawn_control_loop(Control::new(core), queue, links.outlets, clock)?;
         let peers = PeerServer::start(
             listener,
             shared.peer_options.clone(),
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -22,7 +22,7 @@
         let shared = Arc::clone(&self.shared);
         shared.draining.store(true, Ordering::Relaxed);
         tracing::info!("membership: {} is stopping", shared.vm);
-        shared.inputs.input(Input::Drain).await;
+        shared.inputs.send_input(Input::Drain).await;
         // The load balancer keeps sending calls until it sees the readiness.
         sleep(self.drain_notice).await;
         let left = has_left(shared.status.clone());
--- a/crates/entry/src/store/config.rs
+++ b/crates/entry/src/store/config.rs
@@ -62,5 +62,5 @@
         return;
     }
     let fleet = document.to_fleet(Revision(revision));
-    inputs.input(Input::Config(fleet.into())).await;
+    inputs.send_input(Input::Config(fleet.into())).await;
 }
--- a/crates/entry/src/store/view.rs
+++ b/crates/entry/src/store/view.rs
@@ -32,7 +32,7 @@
         let (api, inputs) = (Arc::clone(&api), inputs.clone());
         tokio::spawn(async move {
             let event = carry_out(&*api, order).await;
-            inputs.input(Input::Store(event)).await;
+            inputs.send_input(Input::Store(event)).await;
         });
     }
 }
--- a/crates/entry/src/store/vms.rs
+++ b/crates/entry/src/store/vms.rs
@@ -31,7 +31,7 @@
                     address: entry.address,
                     leaving: entry.leaving,
                 });
-                inputs.input(Input::VmList(vms.collect())).await;
+                inputs.send_input(Input::VmList(vms.collect())).await;
             }
             Err(error) => tracing::debug!("membership: no list of VMs, {error}"),
         }
--- a/crates/entry/src/upstream/loads.rs
+++ b/crates/entry/src/upstream/loads.rs
@@ -47,7 +47,7 @@
             .map(|(upstream, address)| ask(&client, upstream, address));
         for (upstream, load) in join_all(reports).await.into_iter().flatten() {
             for input in inputs_of(upstream, load) {
-                inputs.input(input).await;
+                inputs.send_input(input).await;
             }
         }
         tokio::time::sleep(INTERVAL).await;
--- a/crates/entry/src/upstream/orders.rs
+++ b/crates/entry/src/upstream/orders.rs
@@ -37,7 +37,7 @@
                 token: order.token,
                 result,
             };
-            inputs.input(input).await;
+            inputs.send_input(input).await;
         });
     }
 }
--- a/crates/entry/src/upstream/probe.rs
+++ b/crates/entry/src/upstream/probe.rs
@@ -6,7 +6,7 @@
 
 use knapweeddale_core::input::ProbeState;
 use knapweeddale_core::{Input, UpstreamName};
-use knapweeddale_runtime::ProbeOrder;
+use knapweeddale_runtime::ProbeRequest;
 use serde::Deserialize;
 use tokio::sync::mpsc;
 
@@ -43,7 +43,7 @@
 /// Probes upstreams until the control thread ends.
 pub(crate) async fn serve_probes(
     client: UpstreamClient,
-    mut orders: mpsc::Receiver<ProbeOrder>,
+    mut orders: mpsc::Receiver<ProbeRequest>,
     last_alive: LastAlive,
     inputs: InputSender,
 ) {
@@ -53,7 +53,7 @@
         tokio::spawn(async move {
             let state = probe(&client, &order, &last_alive).await;
             let upstream = order.upstream;
-            inputs.input(Input::Probed { upstream, state }).await;
+            inputs.send_input(Input::Probed { upstream, state }).await;
         });
     }
 }
@@ -62,7 +62,11 @@
 ///
 /// A process that is younger than the last request to it has restarted. One
 /// that reports no age, such as a plain service, counts as not restarted.
-async fn probe(client: &UpstreamClient, order: &ProbeOrder, last_alive: &LastAlive) -> ProbeState {
+async fn probe(
+    client: &UpstreamClient,
+    order: &ProbeRequest,
+    last_alive: &LastAlive,
+) -> ProbeState {
     let url = format!("http://{}/load", order.address);
     let sent = client.http().get(url).timeout(TIMEOUT).send().await;
     let response = match sent {
--- a/crates/entry/src/upstream/release.rs
+++ b/crates/entry/src/upstream/release.rs
@@ -44,7 +44,7 @@
         let (client, inputs) = (client.clone(), inputs.clone());
         tokio::spawn(async move {
             match release(&client, &order).await {
-                Ok(()) => inputs.input(confirmation(order)).await,
+                Ok(()) => inputs.send_input(confirmation(order)).await,
                 Err(error) => {
                     let (program, upstream) = (&order.program, &order.upstream);
                     tracing::debug!("homes: no release of {program} at {upstream}, {error}");
--- a/crates/relay/src/adapter.rs
+++ b/crates/relay/src/adapter.rs
@@ -42,7 +42,7 @@
 
 /// Values of the headers that are added to a request for an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Forward<'a> {
+pub struct ForwardContext<'a> {
     /// Time left until the caller's timeout.
     pub time_left_ms: u64,
     /// The upstream that is expected at the address.
@@ -55,7 +55,7 @@
 
 /// The decoded head of an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseInfo {
     /// ID of the request that the response belongs to.
     pub request_id: Option<Arc<str>>,
     /// Whether the upstream states that it did not run the request.
@@ -68,7 +68,7 @@
 
 /// The head of a response that this VM generates itself.
 #[derive(Debug, Clone)]
-pub struct OwnAnswer {
+pub struct LocalResponse {
     /// The HTTP status.
     pub status: StatusCode,
     /// The HTTP headers.
@@ -92,21 +92,21 @@
     /// # Errors
     ///
     /// Fails if a header that it decodes is invalid.
-    fn decode(&self, head: &Parts) -> Result<CallHead, BadRequest>;
+    fn decode_request(&self, head: &Parts) -> Result<CallHead, BadRequest>;
 
     /// Builds the headers of the request for an upstream.
     ///
     /// Hop-by-hop headers, the length of the body and keys of callers are omitted.
-    fn forward(&self, head: &Parts, forward: Forward<'_>) -> HeaderMap;
+    fn encode_headers(&self, head: &Parts, forward: ForwardContext<'_>) -> HeaderMap;
 
     /// Decodes the head of an upstream's response.
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn decode_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo;
 
     /// Builds the response for a refused call.
-    fn refuse(&self, refusal: &Refusal) -> OwnAnswer;
+    fn encode_refusal(&self, refusal: &Refusal) -> LocalResponse;
 
     /// Returns whether a path is that of the load balancer's readiness check.
-    fn is_readiness(&self, path: &str) -> bool;
+    fn is_readiness_path(&self, path: &str) -> bool;
 }
 
 /// An operator's request to retire a VM with a disk, which hands its records over to another.
@@ -127,21 +127,23 @@
     /// # Errors
     ///
     /// Fails if the store does not answer or the configuration cannot be read.
-    fn fleet(&self) -> impl Future<Output = Result<Option<Arc<FleetConfig>>, StoreError>> + Send;
+    fn read_config(
+        &self,
+    ) -> impl Future<Output = Result<Option<Arc<FleetConfig>>, StoreError>> + Send;
 
     /// Reads the list in which upstreams register themselves.
     ///
     /// # Errors
     ///
     /// Fails if the store does not answer.
-    fn upstreams(&self) -> impl Future<Output = Result<Arc<UpstreamList>, StoreError>> + Send;
+    fn read_upstreams(&self) -> impl Future<Output = Result<Arc<UpstreamList>, StoreError>> + Send;
 
     /// Lists the operator's requests to retire VMs.
     ///
     /// # Errors
     ///
     /// Fails if the store does not answer.
-    fn retirements(&self) -> impl Future<Output = Result<Vec<Retirement>, StoreError>> + Send;
+    fn list_retirements(&self) -> impl Future<Output = Result<Vec<Retirement>, StoreError>> + Send;
 
     /// Reports that the retirement of a VM is in progress or complete.
     ///
--- a/crates/relay/src/call/attempt.rs
+++ b/crates/relay/src/call/attempt.rs
@@ -13,7 +13,7 @@
 
 use super::reply::{RelayBody, Reply};
 use super::request;
-use crate::adapter::{AnswerHead, CallHead, Dialect, Forward};
+use crate::adapter::{CallHead, Dialect, ForwardContext, ResponseInfo};
 use crate::front::SharedState;
 use crate::metrics::Stage;
 use crate::upstream::{Connection, EventReader, ReadError, ResponseHead};
@@ -121,9 +121,9 @@
         deadline: Instant,
     ) -> Result<(AttemptEnd, Option<KeepAlive>), Failure> {
         let left_ms = deadline.duration_since(Instant::now()).as_millis();
-        let headers = self.shared.dialect.forward(
+        let headers = self.shared.dialect.encode_headers(
             self.parts,
-            Forward {
+            ForwardContext {
                 time_left_ms: u64::try_from(left_ms).unwrap_or(u64::MAX),
                 upstream: &self.dispatch.upstream,
                 account: self.dispatch.account.as_ref(),
@@ -139,13 +139,19 @@
         let exchange = exchange.map_err(|_| self.timeout_failure())?;
         let exchange = exchange.map_err(|error| self.failure(&error))?;
         let mut head = exchange.head;
-        let mut answer = self.shared.dialect.answer(head.status, &head.headers);
+        let mut answer = self
+            .shared
+            .dialect
+            .decode_response(head.status, &head.headers);
         for _ in 0..MAX_MISMATCHED_RESPONSES {
             if !self.is_mismatched(&answer) {
                 break;
             }
             head = self.skip_response(connection, &head, limit).await?;
-            answer = self.shared.dialect.answer(head.status, &head.headers);
+            answer = self
+                .shared
+                .dialect
+                .decode_response(head.status, &head.headers);
         }
         if self.is_mismatched(&answer) {
             return Err(self.invalid_response("only responses to other requests"));
@@ -168,7 +174,7 @@
     }
 
     /// Returns whether a response belongs to another request.
-    fn is_mismatched(&self, answer: &AnswerHead) -> bool {
+    fn is_mismatched(&self, answer: &ResponseInfo) -> bool {
         match (&answer.request_id, &self.head.request_id) {
             (Some(answered), Some(asked)) => answered != asked,
             _ => false,
@@ -219,7 +225,7 @@
     fn classify_response(
         &self,
         head: &ResponseHead,
-        answer: &AnswerHead,
+        answer: &ResponseInfo,
         body: Bytes,
     ) -> AttemptEnd {
         let status = head.status;
@@ -366,7 +372,7 @@
 }
 
 /// Returns whether a success is the upstream's own.
-fn is_authentic(head: &ResponseHead, answer: &AnswerHead) -> bool {
+fn is_authentic(head: &ResponseHead, answer: &ResponseInfo) -> bool {
     answer.is_signed && !head.headers.contains_key(header::CONTENT_ENCODING)
 }
 
--- a/crates/relay/src/call/task.rs
+++ b/crates/relay/src/call/task.rs
@@ -13,7 +13,7 @@
 
 use super::attempt::{Attempt, AttemptEnd, Progress};
 use super::reply::{CallerDisconnected, RelayBody, Reply};
-use crate::adapter::{CallHead, Dialect, OwnAnswer};
+use crate::adapter::{CallHead, Dialect, LocalResponse};
 use crate::control::CallOutput;
 use crate::front::SharedState;
 use crate::metrics::Stage;
@@ -87,7 +87,7 @@
         }
         self.is_disconnected = true;
         let abandoned = Input::CallAbandoned(self.context.call);
-        self.shared.inputs.input(abandoned).await;
+        self.shared.inputs.send_input(abandoned).await;
         self.context.outputs.recv().await
     }
 
@@ -142,10 +142,10 @@
             attempt: dispatch.attempt,
             progress,
         };
-        self.shared.inputs.input(Input::Attempt(event)).await;
+        self.shared.inputs.send_input(Input::Attempt(event)).await;
         if self.is_disconnected && !self.progress.may_be_sent {
             let abandoned = Input::CallAbandoned(self.context.call);
-            self.shared.inputs.input(abandoned).await;
+            self.shared.inputs.send_input(abandoned).await;
         }
     }
 
@@ -173,14 +173,14 @@
         let passed_on = refusal.kind == RefusalKind::UpstreamFailed;
         let response = match self.error_response.take().filter(|_| passed_on) {
             Some(response) => response,
-            None => to_response(self.shared.dialect.refuse(refusal)),
+            None => to_response(self.shared.dialect.encode_refusal(refusal)),
         };
         self.context.reply.send_whole(response).await;
     }
 }
 
 /// Makes a response from one that the adapter wrote.
-pub(crate) fn to_response(answer: OwnAnswer) -> Response<RelayBody> {
+pub(crate) fn to_response(answer: LocalResponse) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::whole(Bytes::new()));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -10,7 +10,7 @@
     AccountName, AttemptEvent, CallId, Charge, Control, Decision, Dispatch, Input, Output,
     RecordKeeper, Refusal, Snapshot, SourceRequest,
 };
-use knapweeddale_runtime::{ProbeOrder, order_probe};
+use knapweeddale_runtime::{ProbeRequest, request_probe};
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::charges::ChargeRecord;
@@ -97,7 +97,7 @@
 pub(crate) struct Outlets {
     pub source: mpsc::Sender<SourceRequest>,
     pub snapshots: mpsc::Sender<SnapshotOrder>,
-    pub probes: mpsc::Sender<ProbeOrder>,
+    pub probes: mpsc::Sender<ProbeRequest>,
     pub charges: mpsc::Sender<ChargeRecord>,
     pub datagrams: UdpSocket,
     pub status: watch::Sender<Status>,
@@ -117,7 +117,7 @@
 pub(crate) struct Queues {
     pub source: mpsc::Receiver<SourceRequest>,
     pub snapshots: mpsc::Receiver<SnapshotOrder>,
-    pub probes: mpsc::Receiver<ProbeOrder>,
+    pub probes: mpsc::Receiver<ProbeRequest>,
     pub charges: mpsc::Receiver<ChargeRecord>,
     /// Addresses of VMs with a disk, those in this VM's failure domain first.
     pub keepers: watch::Receiver<Vec<String>>,
@@ -283,10 +283,10 @@
     }
 }
 
-impl knapweeddale_runtime::Outlets for Outlets {
+impl knapweeddale_runtime::OutputHandler for Outlets {
     type Message = Message;
 
-    fn accept(
+    fn accept_message(
         &mut self,
         message: Message,
         control: &Control,
@@ -318,7 +318,7 @@
         true
     }
 
-    fn carry(&mut self, output: Output, control: &Control, now_us: u64) {
+    fn handle_output(&mut self, output: Output, control: &Control, now_us: u64) {
         match output {
             Output::Dispatch(dispatch) => {
                 self.hand(dispatch.attempt.call, CallOutput::Dispatch(dispatch));
@@ -346,7 +346,7 @@
             }
             Output::Probe(upstream) => {
                 self.echo
-                    .extend(order_probe(&self.probes, upstream, control));
+                    .extend(request_probe(&self.probes, upstream, control));
             }
             Output::Charge(charge) => self.charge(charge),
             Output::Decision(decision) => self.log(&decision, control, now_us),
@@ -362,7 +362,7 @@
         }
     }
 
-    fn refresh(&mut self, control: &Control, now_us: u64) {
+    fn publish_status(&mut self, control: &Control, now_us: u64) {
         for call in self.ended.drain(..) {
             self.calls.remove(&call);
         }
@@ -399,11 +399,11 @@
         self.metrics.set_ages(control, now_us);
     }
 
-    fn has_echo(&self) -> bool {
+    fn has_pending_inputs(&self) -> bool {
         !self.echo.is_empty()
     }
 
-    fn take_echo(&mut self) -> Vec<Input> {
+    fn take_pending_inputs(&mut self) -> Vec<Input> {
         std::mem::take(&mut self.echo)
     }
 
--- a/crates/relay/src/daemon.rs
+++ b/crates/relay/src/daemon.rs
@@ -9,7 +9,7 @@
 use derive_more::{Display, Error, From};
 use jsonrpsee::server::{Server, ServerHandle};
 use knapweeddale_core::{Control, Input};
-use knapweeddale_runtime::{CallIds, Clock, input_queue, spawn};
+use knapweeddale_runtime::{CallIds, Clock, input_queue, spawn_control_loop};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
@@ -131,7 +131,7 @@
         let sender = format!("{}@{}", core.vm, core.incarnation);
         let (vm, has_seeds) = (core.vm.clone(), !core.seeds.is_empty());
         let writer = ChargeWriter::new(sender, charges, keepers, Arc::clone(&metrics));
-        let control = spawn(Control::new(core), queue, outlets, clock.clone())?;
+        let control = spawn_control_loop(Control::new(core), queue, outlets, clock.clone())?;
         let runner = Source {
             store: Arc::new(store),
             clock,
@@ -231,7 +231,7 @@
         let deadline = Instant::now() + self.grace.saturating_sub(STOP_MARGIN);
         tracing::info!(connections = self.open(), "stop: draining connections");
         self.shared.is_draining.store(true, Ordering::Relaxed);
-        self.shared.inputs.input(Input::Drain).await;
+        self.shared.inputs.send_input(Input::Drain).await;
         sleep(self.drain_notice).await;
         self.closing.send_replace(true);
         tokio::select! {
@@ -239,7 +239,7 @@
             () = sleep_until(deadline) => {}
         }
         tracing::info!(connections = self.open(), "stop: shutting down");
-        self.shared.inputs.input(Input::Halt).await;
+        self.shared.inputs.send_input(Input::Halt).await;
         // Fails only if the control thread has already ended.
         let _ = self.shared.inputs.send(Message::Stop).await;
         self.background.abort_all();
--- a/crates/relay/src/front/service.rs
+++ b/crates/relay/src/front/service.rs
@@ -66,7 +66,7 @@
     }
     let is_draining = shared.is_draining.load(Ordering::Relaxed);
     let is_ready = shared.status.borrow().is_ready && !is_draining;
-    let status = match (shared.dialect.is_readiness(path), is_ready) {
+    let status = match (shared.dialect.is_readiness_path(path), is_ready) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -101,7 +101,7 @@
     let arrived_us = shared.clock.now_us();
     let call = shared.call_ids.next();
     let (parts, body) = request.into_parts();
-    let head = match shared.dialect.decode(&parts) {
+    let head = match shared.dialect.decode_request(&parts) {
         Ok(head) => head,
         Err(error) => {
             tracing::info!(%call, "front: request refused ({error})");
@@ -228,7 +228,7 @@
     kind: RefusalKind,
 ) -> Response<RelayBody> {
     shared.metrics.count_refusal(kind);
-    to_response(shared.dialect.refuse(&Refusal {
+    to_response(shared.dialect.encode_refusal(&Refusal {
         call,
         kind,
         ran: Execution::NotRun,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -27,7 +27,8 @@
 mod wall_clock;
 
 pub use adapter::{
-    AnswerHead, BadRequest, CallHead, Dialect, FleetStore, Forward, OwnAnswer, Retirement,
+    BadRequest, CallHead, Dialect, FleetStore, ForwardContext, LocalResponse, ResponseInfo,
+    Retirement,
 };
 pub use charges::{ChargeList, ChargeRecord, ListError, list_charges};
 pub use daemon::{Relay, StartError};
--- a/crates/relay/src/peers/snapshots.rs
+++ b/crates/relay/src/peers/snapshots.rs
@@ -65,7 +65,7 @@
                 PeerNews::NoSnapshot
             }
         };
-        inputs.input(Input::News(news)).await;
+        inputs.send_input(Input::News(news)).await;
     }
 }
 
--- a/crates/relay/src/storage.rs
+++ b/crates/relay/src/storage.rs
@@ -231,7 +231,7 @@
     /// Hands all records over and reports it, if the operator has requested this VM's retirement.
     async fn review(&self) -> Result<(), StoreError> {
         let me = VmName::from(self.settings.vm.as_str());
-        let retirements = within(self.store.retirements()).await?;
+        let retirements = within(self.store.list_retirements()).await?;
         let mine = retirements.iter().find(|row| row.vm == me);
         if mine.is_none_or(|row| row.is_done) {
             return Ok(());
--- a/crates/relay/src/store/mod.rs
+++ b/crates/relay/src/store/mod.rs
@@ -80,7 +80,7 @@
                 SourceEvent::Failed(part)
             }
         };
-        self.inputs.input(Input::Source(event)).await;
+        self.inputs.send_input(Input::Source(event)).await;
     }
 
     /// Sends a request to the store and returns its answer.
@@ -88,11 +88,11 @@
         match request {
             SourceRequest::Config => Ok(SourceEvent::Config {
                 asked_us,
-                fleet: self.store.fleet().await?,
+                fleet: self.store.read_config().await?,
             }),
             SourceRequest::Upstreams => Ok(SourceEvent::Upstreams {
                 asked_us,
-                list: self.store.upstreams().await?,
+                list: self.store.read_upstreams().await?,
             }),
             SourceRequest::Vms => {
                 let registered = register(&*self.store, &self.registration, self.has_seeds).await?;
--- a/crates/relay/src/upstream/pool.rs
+++ b/crates/relay/src/upstream/pool.rs
@@ -7,7 +7,7 @@
 use derive_more::{Display, Error};
 use knapweeddale_core::Input;
 use knapweeddale_core::input::ProbeState;
-use knapweeddale_runtime::ProbeOrder;
+use knapweeddale_runtime::ProbeRequest;
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -145,7 +145,7 @@
 
 /// Connects to upstreams whose connections broke, and keeps the connections.
 pub(crate) async fn run_probes(
-    mut requests: mpsc::Receiver<ProbeOrder>,
+    mut requests: mpsc::Receiver<ProbeRequest>,
     pool: Arc<Pool>,
     inputs: InputSender,
     metrics: Arc<Metrics>,
@@ -168,7 +168,7 @@
                 }
             };
             let upstream = request.upstream;
-            inputs.input(Input::Probed { upstream, state }).await;
+            inputs.send_input(Input::Probed { upstream, state }).await;
         });
     }
 }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -5,7 +5,7 @@
 use rustix::time::{ClockId, clock_gettime};
 
 /// Offset of all clocks, so that a time minus an age never reaches 0.
-const START_US: u64 = 3_600_000_000;
+const CLOCK_OFFSET_US: u64 = 3_600_000_000;
 
 /// A monotonic clock.
 pub trait Clock: std::fmt::Debug + Clone + Send + Sync + 'static {
@@ -31,7 +31,7 @@
 impl Clock for MonotonicClock {
     fn now_us(&self) -> u64 {
         let elapsed_us = u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX);
-        elapsed_us.saturating_add(START_US)
+        elapsed_us.saturating_add(CLOCK_OFFSET_US)
     }
 }
 
@@ -46,6 +46,6 @@
         let time = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
         let micros = u64::try_from(time.tv_nsec / 1_000).unwrap_or_default();
-        seconds * 1_000_000 + micros + START_US
+        seconds * 1_000_000 + micros + CLOCK_OFFSET_US
     }
 }
--- a/crates/runtime/src/control_loop.rs
+++ b/crates/runtime/src/control_loop.rs
@@ -12,17 +12,17 @@
 
 /// Maximum number of messages handled in one tick. A larger batch delays the first call in it;
 /// at 10 us per call this many take 2.5 ms.
-const MAX_BATCH: usize = 256;
+const MAX_MESSAGES_PER_TICK: usize = 256;
 
 /// Connects the control loop to a daemon: unpacks messages and dispatches outputs.
 ///
 /// Runs on the control thread, so no method may block.
-pub trait Outlets: Send + 'static {
+pub trait OutputHandler: Send + 'static {
     /// The messages that traffic threads send to the control thread.
     type Message: From<Input> + Send + 'static;
 
     /// Handles a message and adds its inputs to `inputs`; returns `false` if the thread has to end.
-    fn accept(
+    fn accept_message(
         &mut self,
         message: Self::Message,
         control: &Control,
@@ -31,16 +31,16 @@
     ) -> bool;
 
     /// Dispatches one output to its receiver.
-    fn carry(&mut self, output: Output, control: &Control, now_us: u64);
+    fn handle_output(&mut self, output: Output, control: &Control, now_us: u64);
 
     /// Publishes the state that traffic threads read; called after each tick.
-    fn refresh(&mut self, control: &Control, now_us: u64);
+    fn publish_status(&mut self, control: &Control, now_us: u64);
 
     /// Returns whether outputs that could not be delivered have led to new inputs.
-    fn has_echo(&self) -> bool;
+    fn has_pending_inputs(&self) -> bool;
 
     /// Removes and returns these inputs.
-    fn take_echo(&mut self) -> Vec<Input>;
+    fn take_pending_inputs(&mut self) -> Vec<Input>;
 
     /// Records the number of inputs and the duration of a tick in metrics.
     fn count_tick(&self, inputs: usize, took: Duration);
@@ -51,16 +51,16 @@
 /// # Errors
 ///
 /// Fails if the thread cannot be started.
-pub fn spawn<C: Clock, O: Outlets>(
+pub fn spawn_control_loop<C: Clock, O: OutputHandler>(
     control: Control,
     queue: InputQueue<O::Message>,
-    outlets: O,
+    handler: O,
     clock: C,
 ) -> io::Result<JoinHandle<()>> {
     let control_loop = ControlLoop {
         control,
         queue,
-        outlets,
+        handler,
         clock,
         inputs: Vec::new(),
         outputs: Vec::new(),
@@ -71,16 +71,16 @@
 }
 
 /// The state of the control thread.
-struct ControlLoop<C, O: Outlets> {
+struct ControlLoop<C, O: OutputHandler> {
     control: Control,
     queue: InputQueue<O::Message>,
-    outlets: O,
+    handler: O,
     clock: C,
     inputs: Vec<Input>,
     outputs: Vec<Output>,
 }
 
-impl<C: Clock, O: Outlets> ControlLoop<C, O> {
+impl<C: Clock, O: OutputHandler> ControlLoop<C, O> {
     /// Handles messages and deadlines until a message ends the thread, after a tick over the inputs
     /// received before it.
     fn run(mut self) {
@@ -94,7 +94,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            for _ in 1..MAX_BATCH {
+            for _ in 1..MAX_MESSAGES_PER_TICK {
                 let Ok(envelope) = self.queue.try_recv() else {
                     break;
                 };
@@ -108,8 +108,8 @@
 
     /// Blocks until the next message or deadline.
     fn wait(&self) -> Result<Envelope<O::Message>, RecvTimeoutError> {
-        let has_echo = self.outlets.has_echo();
-        let due_us = if has_echo {
+        let has_pending = self.handler.has_pending_inputs();
+        let due_us = if has_pending {
             Some(0)
         } else {
             self.control.next_deadline_us()
@@ -128,22 +128,22 @@
     fn accept(&mut self, envelope: Envelope<O::Message>) -> bool {
         let now_us = self.clock.now_us();
         let message = envelope.message;
-        self.outlets
-            .accept(message, &self.control, now_us, &mut self.inputs)
+        self.handler
+            .accept_message(message, &self.control, now_us, &mut self.inputs)
     }
 
     /// Runs the systems on the collected inputs and dispatches their outputs.
     fn tick(&mut self) {
         let started = Instant::now();
-        self.inputs.append(&mut self.outlets.take_echo());
+        self.inputs.append(&mut self.handler.take_pending_inputs());
         let inputs = self.inputs.len();
         let now_us = self.clock.now_us();
         self.control
             .tick(now_us, self.inputs.drain(..), &mut self.outputs);
         for output in self.outputs.drain(..) {
-            self.outlets.carry(output, &self.control, now_us);
+            self.handler.handle_output(output, &self.control, now_us);
         }
-        self.outlets.refresh(&self.control, now_us);
-        self.outlets.count_tick(inputs, started.elapsed());
+        self.handler.publish_status(&self.control, now_us);
+        self.handler.count_tick(inputs, started.elapsed());
     }
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control thread of a daemon, without the front end and the clients around it.
 //!
 //! One thread owns the core's [`Control`](knapweeddale_core::Control) value. Traffic threads
-//! reach it over a bounded [queue](input_queue), and an implementation of [`Outlets`] dispatches
+//! reach it over a bounded [queue](input_queue), and an implementation of [`OutputHandler`] dispatches
 //! its outputs. The crate also has helpers for IDs, clocks, probes and metrics.
 
 mod clock;
@@ -12,8 +12,8 @@
 mod queue;
 
 pub use clock::{BootClock, Clock, MonotonicClock};
-pub use control_loop::{Outlets, spawn};
+pub use control_loop::{OutputHandler, spawn_control_loop};
 pub use ids::{CallIds, new_incarnation, random_u64};
 pub use metrics::{gauge_value, register};
-pub use probe::{ProbeOrder, order_probe};
+pub use probe::{ProbeRequest, request_probe};
 pub use queue::{Envelope, InputQueue, InputSender, QueueFull, input_queue};
--- a/crates/runtime/src/probe.rs
+++ b/crates/runtime/src/probe.rs
@@ -8,7 +8,7 @@
 
 /// A request to probe an upstream.
 #[derive(Debug)]
-pub struct ProbeOrder {
+pub struct ProbeRequest {
     /// Name of the upstream.
     pub upstream: UpstreamName,
     /// Its address as `ip:port`.
@@ -19,17 +19,17 @@
 ///
 /// An upstream that cannot be probed counts as alive, so that no request is suspected of a crash
 /// without evidence.
-pub fn order_probe(
-    orders: &mpsc::Sender<ProbeOrder>,
+pub fn request_probe(
+    requests: &mpsc::Sender<ProbeRequest>,
     upstream: UpstreamName,
     control: &Control,
 ) -> Option<Input> {
     let row = control.tables().upstreams.get(&upstream);
-    let order = row.map(|row| ProbeOrder {
+    let request = row.map(|row| ProbeRequest {
         upstream: upstream.clone(),
         address: Arc::clone(&row.address),
     });
-    let is_ordered = order.is_some_and(|order| orders.try_send(order).is_ok());
+    let is_queued = request.is_some_and(|request| requests.try_send(request).is_ok());
     let state = ProbeState::Up;
-    (!is_ordered).then_some(Input::Probed { upstream, state })
+    (!is_queued).then_some(Input::Probed { upstream, state })
 }
--- a/crates/runtime/src/queue.rs
+++ b/crates/runtime/src/queue.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct Envelope<M> {
     pub(crate) message: M,
-    _room: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
 /// The sending side of the input queue.
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct InputSender<M> {
     channel: SyncSender<Envelope<M>>,
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
 /// The receiving side of the input queue.
@@ -32,7 +32,7 @@
     fn clone(&self) -> Self {
         Self {
             channel: self.channel.clone(),
-            room: Arc::clone(&self.room),
+            permits: Arc::clone(&self.permits),
         }
     }
 }
@@ -40,8 +40,8 @@
 /// Creates an input queue with a capacity of `len` messages.
 pub fn input_queue<M>(len: usize) -> (InputSender<M>, InputQueue<M>) {
     let (channel, queue) = sync_channel(len);
-    let room = Arc::new(Semaphore::new(len));
-    (InputSender { channel, room }, queue)
+    let permits = Arc::new(Semaphore::new(len));
+    (InputSender { channel, permits }, queue)
 }
 
 /// The queue is full, or the control thread has ended.
@@ -56,9 +56,9 @@
     ///
     /// Fails if the queue is full or the control thread has ended.
     pub fn try_send(&self, message: M) -> Result<(), QueueFull> {
-        let room = Arc::clone(&self.room).try_acquire_owned();
-        let room = room.map_err(|_| QueueFull)?;
-        self.push(message, room)
+        let permit = Arc::clone(&self.permits).try_acquire_owned();
+        let permit = permit.map_err(|_| QueueFull)?;
+        self.enqueue(message, permit)
     }
 
     /// Enqueues a message, waiting while the queue is full.
@@ -67,21 +67,21 @@
     ///
     /// Fails if the control thread has ended.
     pub async fn send(&self, message: M) -> Result<(), QueueFull> {
-        let room = Arc::clone(&self.room).acquire_owned().await;
-        let room = room.map_err(|_| QueueFull)?;
-        self.push(message, room)
+        let permit = Arc::clone(&self.permits).acquire_owned().await;
+        let permit = permit.map_err(|_| QueueFull)?;
+        self.enqueue(message, permit)
     }
 
     /// Enqueues an input, waiting while the queue is full.
-    pub async fn input(&self, input: Input) {
+    pub async fn send_input(&self, input: Input) {
         // Fails only if the control thread has ended, and then the input is not needed.
         let _ = self.send(input.into()).await;
     }
 
-    fn push(&self, message: M, room: OwnedSemaphorePermit) -> Result<(), QueueFull> {
+    fn enqueue(&self, message: M, permit: OwnedSemaphorePermit) -> Result<(), QueueFull> {
         let envelope = Envelope {
             message,
-            _room: room,
+            _permit: permit,
         };
         self.channel.try_send(envelope).map_err(|_| QueueFull)
     }
