--- a/crates/entry/src/call/attempt.rs
+++ b/crates/entry/src/call/attempt.rs
@@ -19,13 +19,13 @@
 
 /// Longest wait for a caller to read. A caller that reads more slowly than an
 /// engine generates for this long has stopped reading.
-pub(super) const SLOW_CALLER: Duration = Duration::from_secs(10);
+pub(super) const CALLER_SEND_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Largest response of a plain service, which is held in memory.
-const MAX_PLAIN_BYTES: usize = 8 * 1024 * 1024;
+const MAX_PLAIN_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Statuses by which an upstream refuses a request without running it.
-const REFUSALS: [u16; 2] = [429, 503];
+const REFUSAL_STATUSES: [u16; 2] = [429, 503];
 
 /// What an attempt has achieved so far; it outlives a cancelled attempt.
 #[derive(Debug, Default)]
@@ -35,12 +35,12 @@
     /// Whether any part of the response reached the caller.
     pub forwarded: bool,
     /// The bytes of a stream so far, if they are kept for a resend.
-    pub kept: Vec<u8>,
+    pub cached_events: Vec<u8>,
 }
 
 /// A complete response of an upstream.
 #[derive(Debug)]
-pub(super) struct Finished {
+pub(super) struct CompletedAttempt {
     /// What the core learns.
     pub outcome: AttemptOutcome,
     /// The response; `None` if it went to the caller as a stream.
@@ -54,13 +54,13 @@
     pub request: &'a UpstreamRequest,
     pub kind: &'a CallKind,
     pub service: &'a str,
-    pub reply: &'a mpsc::Sender<ReplyPart>,
-    pub keeps_answer: bool,
+    pub reply_sender: &'a mpsc::Sender<ReplyPart>,
+    pub is_cacheable: bool,
     pub progress: &'a mut Progress,
 }
 
 /// Reports progress of an attempt to the core.
-pub(super) async fn report<C: Clock>(
+pub(super) async fn report_progress<C: Clock>(
     shared: &Shared<C>,
     attempt: AttemptId,
     progress: AttemptProgress,
@@ -71,8 +71,8 @@
 
 impl<C: Clock> Attempt<'_, C> {
     /// Runs the attempt to its end.
-    pub async fn run(mut self) -> Result<Finished, Failure> {
-        report(self.shared, self.dispatch.attempt, AttemptProgress::Sent).await;
+    pub async fn run(mut self) -> Result<CompletedAttempt, Failure> {
+        report_progress(self.shared, self.dispatch.attempt, AttemptProgress::Sent).await;
         // Checked last before the request leaves: the permission to start may
         // have run out while the process was paused.
         if self.shared.clock.now_us() >= self.dispatch.valid_until_us {
@@ -92,15 +92,15 @@
     }
 
     /// Notes the first token or byte.
-    async fn note_first(&self, started: Instant) {
+    async fn record_first_token(&self, started: Instant) {
         let attempt = self.dispatch.attempt;
-        report(self.shared, attempt, AttemptProgress::FirstToken).await;
+        report_progress(self.shared, attempt, AttemptProgress::FirstToken).await;
         let took = started.elapsed();
         self.shared.metrics.note_first_token(self.service, took);
     }
 
     /// Returns the failure of a broken or silent connection.
-    fn interrupted(&self, is_silent: bool) -> Failure {
+    fn connection_failure(&self, is_silent: bool) -> Failure {
         let answer_tokens = self.progress.answer_tokens;
         let forwarded = self.progress.forwarded;
         if is_silent {
@@ -124,10 +124,10 @@
         &mut self,
         response: Response,
         started: Instant,
-    ) -> Result<Finished, Failure> {
+    ) -> Result<CompletedAttempt, Failure> {
         let status = response.status().as_u16();
         if !response.status().is_success() {
-            return Err(if status < 500 || REFUSALS.contains(&status) {
+            return Err(if status < 500 || REFUSAL_STATUSES.contains(&status) {
                 Failure::RefusedByUpstream { status }
             } else {
                 Failure::UpstreamError { status }
@@ -145,57 +145,60 @@
             let event = events
                 .next(limit)
                 .await
-                .map_err(|error| self.interrupted(error == EventError::Silent))?;
+                .map_err(|error| self.connection_failure(error == EventError::Silent))?;
             let step = completion.add(&event);
             if step == Step::Done {
                 return Ok(self.finish_engine(&completion));
             }
             if step == Step::Token && completion.tokens() == 1 {
-                self.note_first(started).await;
+                self.record_first_token(started).await;
             }
             self.progress.answer_tokens = completion.tokens();
-            self.forward(event).await?;
+            self.forward_event(event).await?;
         }
     }
 
     /// Forwards an event to a caller that streams.
-    async fn forward(&mut self, event: Bytes) -> Result<(), Failure> {
-        if !self.kind.streams() {
+    async fn forward_event(&mut self, event: Bytes) -> Result<(), Failure> {
+        if !self.kind.is_streaming() {
             return Ok(());
         }
-        if self.keeps_answer {
-            self.progress.kept.extend_from_slice(&event);
+        if self.is_cacheable {
+            self.progress.cached_events.extend_from_slice(&event);
         }
         if !self.progress.forwarded {
             self.progress.forwarded = true;
-            self.send(ReplyPart::Start).await?;
+            self.send_part(ReplyPart::Start).await?;
         }
-        self.send(ReplyPart::Chunk(event)).await
+        self.send_part(ReplyPart::Chunk(event)).await
     }
 
     /// Hands a part to the caller.
-    async fn send(&self, part: ReplyPart) -> Result<(), Failure> {
+    async fn send_part(&self, part: ReplyPart) -> Result<(), Failure> {
         let answer_tokens = self.progress.answer_tokens;
-        let sent = self.reply.send_timeout(part, SLOW_CALLER).await;
+        let sent = self
+            .reply_sender
+            .send_timeout(part, CALLER_SEND_TIMEOUT)
+            .await;
         sent.map_err(|_| Failure::CallerGone { answer_tokens })
     }
 
     /// Returns the result of a complete stream of events.
-    fn finish_engine(&self, completion: &Completion) -> Finished {
+    fn finish_engine(&self, completion: &Completion) -> CompletedAttempt {
         let CallKind::Engine {
             history,
             prompt_tokens,
             ..
         } = self.kind
         else {
-            return Finished {
+            return CompletedAttempt {
                 outcome: AttemptOutcome::default(),
                 reply: None,
             };
         };
         let outcome = completion.outcome(*history, *prompt_tokens);
         let reply = (!self.progress.forwarded).then(|| Reply::json(200, &completion.to_json()));
-        Finished { outcome, reply }
+        CompletedAttempt { outcome, reply }
     }
 }
 
@@ -206,12 +209,12 @@
         &mut self,
         mut response: Response,
         started: Instant,
-    ) -> Result<Finished, Failure> {
-        self.note_first(started).await;
+    ) -> Result<CompletedAttempt, Failure> {
+        self.record_first_token(started).await;
         let status = response.status().as_u16();
         let headers = response.headers();
-        let says_not_run = headers.get("kwd-ran").is_some_and(|ran| ran == "not_run");
-        if REFUSALS.contains(&status) && says_not_run {
+        let is_marked_not_run = headers.get("kwd-ran").is_some_and(|ran| ran == "not_run");
+        if REFUSAL_STATUSES.contains(&status) && is_marked_not_run {
             return Err(Failure::RefusedByUpstream { status });
         }
         if status >= 500 {
@@ -224,11 +227,11 @@
             match timeout(gap, response.chunk()).await {
                 Ok(Ok(Some(chunk))) => body.extend_from_slice(&chunk),
                 Ok(Ok(None)) => break,
-                Ok(Err(_)) => return Err(self.interrupted(false)),
-                Err(_) => return Err(self.interrupted(true)),
+                Ok(Err(_)) => return Err(self.connection_failure(false)),
+                Err(_) => return Err(self.connection_failure(true)),
             }
-            if body.len() > MAX_PLAIN_BYTES {
-                return Err(self.interrupted(false));
+            if body.len() > MAX_PLAIN_BODY_BYTES {
+                return Err(self.connection_failure(false));
             }
         }
         let reply = Reply {
@@ -236,7 +239,7 @@
             headers,
             body: Bytes::from(body),
         };
-        Ok(Finished {
+        Ok(CompletedAttempt {
             outcome: AttemptOutcome::default(),
             reply: Some(reply),
         })
--- a/crates/entry/src/call/describe.rs
+++ b/crates/entry/src/call/describe.rs
@@ -3,7 +3,7 @@
 use knapweeddale_core::RefusalKind;
 
 /// Returns one sentence about a refusal; the remedy is stated apart from it.
-pub(super) fn describe(kind: RefusalKind) -> &'static str {
+pub(super) fn describe_refusal(kind: RefusalKind) -> &'static str {
     match kind {
         RefusalKind::KeyMissing => "the request carries no key",
         RefusalKind::KeyUnknown => "the key is not known",
--- a/crates/entry/src/call/in_flight.rs
+++ b/crates/entry/src/call/in_flight.rs
@@ -18,7 +18,7 @@
 
 impl InFlight {
     /// Adds a call until the guard is dropped.
-    pub fn enter(&self, call: CallId) -> InFlightGuard {
+    pub fn register(&self, call: CallId) -> InFlightGuard {
         self.0.lock().insert(call);
         InFlightGuard {
             inner: Arc::clone(&self.0),
@@ -32,7 +32,7 @@
     }
 
     /// Waits until there is no call.
-    pub async fn empty(&self) {
+    pub async fn wait_until_empty(&self) {
         loop {
             let emptied = self.0.emptied.notified();
             if self.0.lock().is_empty() {
--- a/crates/entry/src/call/reply.rs
+++ b/crates/entry/src/call/reply.rs
@@ -4,23 +4,23 @@
 use knapweeddale_core::{CallId, Execution, Refusal};
 use serde_json::{Map, Value, json};
 
-use super::describe::describe;
+use super::describe::describe_refusal;
 
 /// The content type of a stream of events.
 pub(crate) const EVENT_STREAM: &str = "text/event-stream";
 
 /// The signed values that the caller carries to the next turn.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Tokens {
+pub(crate) struct SignedTokens {
     /// The state of the program.
     pub continuation: Option<String>,
     /// The permit for a turn that may not be repeated.
     pub permit: Option<String>,
 }
 
-impl Tokens {
+impl SignedTokens {
     /// Returns the values that are present, with their names.
-    fn named(&self) -> impl Iterator<Item = (&'static str, &str)> {
+    fn entries(&self) -> impl Iterator<Item = (&'static str, &str)> {
         let named = [
             ("kwd-continuation", &self.continuation),
             ("kwd-permit", &self.permit),
@@ -65,27 +65,29 @@
 
     /// Adds a header.
     #[must_use]
-    pub fn with(mut self, name: &str, value: impl ToString) -> Self {
+    pub fn with_header(mut self, name: &str, value: impl ToString) -> Self {
         self.headers.push((name.to_owned(), value.to_string()));
         self
     }
 
     /// Adds the headers of a call that ran.
     #[must_use]
-    pub fn ran(self, call: CallId, tokens: &Tokens) -> Self {
-        let reply = self.with("kwd-call", call).with("kwd-ran", Execution::Ran);
+    pub fn with_run_headers(self, call: CallId, tokens: &SignedTokens) -> Self {
+        let reply = self
+            .with_header("kwd-call", call)
+            .with_header("kwd-ran", Execution::Ran);
         tokens
-            .named()
-            .fold(reply, |reply, (name, value)| reply.with(name, value))
+            .entries()
+            .fold(reply, |reply, (name, value)| reply.with_header(name, value))
     }
 
     /// Makes the response to a refused call. `detail` replaces the general message.
     pub fn refused(refusal: &Refusal, detail: Option<&str>) -> Self {
-        let reply = Self::json(refusal.kind.status(), &error_body(refusal, detail))
-            .with("kwd-call", refusal.call)
-            .with("kwd-ran", refusal.ran);
+        let reply = Self::json(refusal.kind.status(), &build_error_body(refusal, detail))
+            .with_header("kwd-call", refusal.call)
+            .with_header("kwd-ran", refusal.ran);
         match refusal.retry_after_ms {
-            Some(ms) => reply.with("retry-after", ms.div_ceil(1_000)),
+            Some(ms) => reply.with_header("retry-after", ms.div_ceil(1_000)),
             None => reply,
         }
     }
@@ -98,13 +100,16 @@
 }
 
 /// Returns the body of a refusal.
-pub(crate) fn error_body(refusal: &Refusal, detail: Option<&str>) -> Value {
+pub(crate) fn build_error_body(refusal: &Refusal, detail: Option<&str>) -> Value {
     let message = match (detail, refusal.ran) {
         (Some(detail), _) => detail.to_owned(),
         (None, Execution::MayHaveRun) => {
-            format!("{}; the request may have run", describe(refusal.kind))
+            format!(
+                "{}; the request may have run",
+                describe_refusal(refusal.kind)
+            )
         }
-        (None, _) => describe(refusal.kind).to_owned(),
+        (None, _) => describe_refusal(refusal.kind).to_owned(),
     };
     json!({"error": {
         "kind": refusal.kind.to_string(),
@@ -117,13 +122,13 @@
 
 /// Returns the last event of a stream, in the form of a chunk without choices,
 /// which clients of model APIs pass over, and the usual end mark.
-pub(crate) fn last_event(call: CallId, tokens: &Tokens) -> Bytes {
+pub(crate) fn encode_last_event(call: CallId, tokens: &SignedTokens) -> Bytes {
     let mut event = Map::new();
     event.insert("object".to_owned(), json!("chat.completion.chunk"));
     event.insert("choices".to_owned(), json!([]));
     event.insert("kwd-call".to_owned(), json!(call.to_string()));
     event.insert("kwd-ran".to_owned(), json!(Execution::Ran.to_string()));
-    for (name, value) in tokens.named() {
+    for (name, value) in tokens.entries() {
         event.insert(name.to_owned(), json!(value));
     }
     let event = Value::Object(event);
--- a/crates/entry/src/call/answers.rs
+++ b/crates/entry/src/call/response_cache.rs
@@ -10,45 +10,45 @@
 use super::reply::Reply;
 
 /// Bytes of all kept responses; a quarter of what a VM may use for control.
-const MAX_KEPT_BYTES: usize = 64 * 1024 * 1024;
+const MAX_CACHED_BYTES: usize = 64 * 1024 * 1024;
 
 /// Responses kept for resends, for a limited time and up to a limited size.
 #[derive(Debug)]
-pub(crate) struct KeptAnswers {
-    keep_us: u64,
+pub(crate) struct ResponseCache {
+    retention_us: u64,
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    answers: HashMap<CallId, (ContentDigest, Reply)>,
+    responses: HashMap<CallId, (ContentDigest, Reply)>,
     /// Calls in the order in which they expire.
     expiry: VecDeque<(u64, CallId)>,
     bytes: usize,
 }
 
-impl KeptAnswers {
-    pub fn new(keep_ms: u64) -> Self {
+impl ResponseCache {
+    pub fn new(retention_ms: u64) -> Self {
         Self {
-            keep_us: keep_ms * 1_000,
+            retention_us: retention_ms * 1_000,
             inner: Mutex::default(),
         }
     }
 
     /// Keeps the response of a call.
-    pub fn keep(&self, now_us: u64, call: CallId, digest: ContentDigest, reply: Reply) {
+    pub fn insert(&self, now_us: u64, call: CallId, digest: ContentDigest, reply: Reply) {
         let mut inner = self.lock();
         inner.bytes += reply.body.len();
-        inner.answers.insert(call, (digest, reply));
-        inner.expiry.push_back((now_us + self.keep_us, call));
-        inner.drop_old(now_us);
+        inner.responses.insert(call, (digest, reply));
+        inner.expiry.push_back((now_us + self.retention_us, call));
+        inner.evict(now_us);
     }
 
     /// Returns the response of a call whose content had this digest.
     pub fn get(&self, call: CallId, digest: ContentDigest) -> Option<Reply> {
         let inner = self.lock();
-        let (kept_digest, reply) = inner.answers.get(&call)?;
-        (*kept_digest == digest).then(|| reply.clone())
+        let (cached_digest, reply) = inner.responses.get(&call)?;
+        (*cached_digest == digest).then(|| reply.clone())
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -58,13 +58,13 @@
 
 impl Inner {
     /// Drops responses that have expired or exceed the size.
-    fn drop_old(&mut self, now_us: u64) {
+    fn evict(&mut self, now_us: u64) {
         while let Some(&(expires_us, call)) = self.expiry.front() {
-            if expires_us > now_us && self.bytes <= MAX_KEPT_BYTES {
+            if expires_us > now_us && self.bytes <= MAX_CACHED_BYTES {
                 return;
             }
             self.expiry.pop_front();
-            if let Some((_, reply)) = self.answers.remove(&call) {
+            if let Some((_, reply)) = self.responses.remove(&call) {
                 self.bytes -= reply.body.len();
             }
         }
--- a/crates/entry/src/call/task.rs
+++ b/crates/entry/src/call/task.rs
@@ -13,9 +13,11 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::attempt::{Attempt, Finished, Progress, SLOW_CALLER, report};
+use super::attempt::{Attempt, CALLER_SEND_TIMEOUT, CompletedAttempt, Progress, report_progress};
 use super::in_flight::InFlightGuard;
-use super::reply::{EVENT_STREAM, Reply, ReplyPart, Tokens, error_body, last_event};
+use super::reply::{
+    EVENT_STREAM, Reply, ReplyPart, SignedTokens, build_error_body, encode_last_event,
+};
 use crate::control::CallOutput;
 use crate::front::Shared;
 use crate::upstream::UpstreamRequest;
@@ -39,14 +41,14 @@
 
 impl CallKind {
     /// Returns whether the caller reads a stream.
-    pub fn streams(&self) -> bool {
+    pub fn is_streaming(&self) -> bool {
         matches!(self, Self::Engine { stream: true, .. })
     }
 }
 
 /// A call as the front end hands it over.
 #[derive(Debug)]
-pub(crate) struct NewTask {
+pub(crate) struct CallContext {
     /// The call.
     pub call: CallId,
     /// The request for upstreams.
@@ -58,26 +60,26 @@
     /// The service, as a bounded label.
     pub service: String,
     /// Whether the response is kept for a resend.
-    pub keeps_answer: bool,
+    pub is_cacheable: bool,
 }
 
 /// The task of a call.
 pub(crate) struct CallTask<C> {
     shared: Arc<Shared<C>>,
-    new: NewTask,
+    context: CallContext,
     outputs: mpsc::Receiver<CallOutput>,
-    reply: mpsc::Sender<ReplyPart>,
+    reply_sender: mpsc::Sender<ReplyPart>,
     started: Instant,
     progress: Progress,
-    finished: Option<Finished>,
-    caller_gone: bool,
+    finished: Option<CompletedAttempt>,
+    is_disconnected: bool,
     _guard: InFlightGuard,
 }
 
 /// Why a running attempt stopped.
-enum Stopped {
+enum AttemptStop {
     /// It came to its end.
-    Ended(Result<Finished, Failure>),
+    Ended(Result<CompletedAttempt, Failure>),
     /// The core cancelled it.
     Cancelled,
     /// The core put out something else for the call.
@@ -90,20 +92,20 @@
     /// Makes the task of a call.
     pub fn new(
         shared: Arc<Shared<C>>,
-        new: NewTask,
+        context: CallContext,
         outputs: mpsc::Receiver<CallOutput>,
-        reply: mpsc::Sender<ReplyPart>,
+        reply_sender: mpsc::Sender<ReplyPart>,
     ) -> Self {
-        let guard = shared.in_flight.enter(new.call);
+        let guard = shared.in_flight.register(context.call);
         Self {
             shared,
-            new,
+            context,
             outputs,
-            reply,
+            reply_sender,
             started: Instant::now(),
             progress: Progress::default(),
             finished: None,
-            caller_gone: false,
+            is_disconnected: false,
             _guard: guard,
         }
     }
@@ -113,40 +115,43 @@
         let mut next = self.next_output().await;
         loop {
             next = match next {
-                Some(CallOutput::Dispatch(dispatch)) => match self.attempt(&dispatch).await {
+                Some(CallOutput::Dispatch(dispatch)) => match self.handle_dispatch(&dispatch).await
+                {
                     Some(output) => output,
                     None => self.next_output().await,
                 },
-                Some(CallOutput::Answered(answered)) => return self.answer(*answered).await,
-                Some(CallOutput::Refused(refusal)) => return self.refuse(&refusal, None).await,
+                Some(CallOutput::Answered(answered)) => return self.send_response(*answered).await,
+                Some(CallOutput::Refused(refusal)) => {
+                    return self.send_refusal(&refusal, None).await;
+                }
                 Some(CallOutput::Replay {
                     peer,
                     original,
                     continuation,
                     permit,
                 }) => {
-                    let tokens = self.sign(Some(&continuation), permit.as_deref());
-                    return self.replay(peer, original, tokens).await;
+                    let tokens = self.sign_tokens(Some(&continuation), permit.as_deref());
+                    return self.replay_response(peer, original, tokens).await;
                 }
                 // The first has come too late; the others answer requests, not calls.
                 Some(CallOutput::Cancel(_) | CallOutput::Permit(_) | CallOutput::Ended) => {
                     self.next_output().await
                 }
-                None => return self.lose().await,
+                None => return self.abort().await,
             };
         }
     }
 
     /// Waits for an output, and tells the core once if the caller disconnects.
     async fn next_output(&mut self) -> Option<CallOutput> {
-        if !self.caller_gone && self.finished.is_none() {
+        if !self.is_disconnected && self.finished.is_none() {
             tokio::select! {
                 biased;
                 output = self.outputs.recv() => return output,
-                () = self.reply.closed() => {}
+                () = self.reply_sender.closed() => {}
             }
-            self.caller_gone = true;
-            let abandoned = Input::CallAbandoned(self.new.call);
+            self.is_disconnected = true;
+            let abandoned = Input::CallAbandoned(self.context.call);
             self.shared.inputs.send_input(abandoned).await;
         }
         self.outputs.recv().await
@@ -156,58 +161,63 @@
 /// # Attempts
 impl<C: Clock> CallTask<C> {
     /// Runs an attempt; returns an output of the core that came instead of its end.
-    async fn attempt(&mut self, dispatch: &Dispatch) -> Option<Option<CallOutput>> {
+    async fn handle_dispatch(&mut self, dispatch: &Dispatch) -> Option<Option<CallOutput>> {
         let attempt = dispatch.attempt;
         self.progress = Progress {
             forwarded: self.progress.forwarded,
             ..Progress::default()
         };
         let failure = match self.run_attempt(dispatch).await {
-            Stopped::Ended(Ok(finished)) => {
+            AttemptStop::Ended(Ok(finished)) => {
                 let outcome = finished.outcome;
                 self.finished = Some(finished);
-                report(&self.shared, attempt, AttemptProgress::Finished(outcome)).await;
+                report_progress(&self.shared, attempt, AttemptProgress::Finished(outcome)).await;
                 return None;
             }
-            Stopped::Ended(Err(failure)) => failure,
-            Stopped::CallerGone => Failure::CallerGone {
+            AttemptStop::Ended(Err(failure)) => failure,
+            AttemptStop::CallerGone => Failure::CallerGone {
                 answer_tokens: self.progress.answer_tokens,
             },
-            Stopped::Cancelled => return None,
-            Stopped::Output(output) => return Some(output),
+            AttemptStop::Cancelled => return None,
+            AttemptStop::Output(output) => return Some(output),
         };
-        report(&self.shared, attempt, AttemptProgress::Failed(failure)).await;
+        report_progress(&self.shared, attempt, AttemptProgress::Failed(failure)).await;
         None
     }
 
     /// Runs an attempt until it ends or is stopped. Dropping the attempt
     /// closes its connection, by which the engine learns of the cancellation.
-    async fn run_attempt(&mut self, dispatch: &Dispatch) -> Stopped {
+    async fn run_attempt(&mut self, dispatch: &Dispatch) -> AttemptStop {
         let run = Attempt {
             shared: &self.shared,
             dispatch,
-            request: &self.new.request,
-            kind: &self.new.kind,
-            service: &self.new.service,
-            reply: &self.reply,
-            keeps_answer: self.new.keeps_answer,
+            request: &self.context.request,
+            kind: &self.context.kind,
+            service: &self.context.service,
+            reply_sender: &self.reply_sender,
+            is_cacheable: self.context.is_cacheable,
             progress: &mut self.progress,
         };
         tokio::select! {
-            ended = run.run() => Stopped::Ended(ended),
-            stopped = interruption(&mut self.outputs, dispatch.attempt) => stopped,
-            () = self.reply.closed() => Stopped::CallerGone,
+            ended = run.run() => AttemptStop::Ended(ended),
+            stopped = wait_for_interruption(&mut self.outputs, dispatch.attempt) => stopped,
+            () = self.reply_sender.closed() => AttemptStop::CallerGone,
         }
     }
 }
 
 /// Waits for an output that stops a running attempt.
-async fn interruption(outputs: &mut mpsc::Receiver<CallOutput>, running: AttemptId) -> Stopped {
+async fn wait_for_interruption(
+    outputs: &mut mpsc::Receiver<CallOutput>,
+    running: AttemptId,
+) -> AttemptStop {
     loop {
         match outputs.recv().await {
-            Some(CallOutput::Cancel(attempt)) if attempt == running => return Stopped::Cancelled,
+            Some(CallOutput::Cancel(attempt)) if attempt == running => {
+                return AttemptStop::Cancelled;
+            }
             Some(CallOutput::Cancel(_)) => {}
-            output => return Stopped::Output(output),
+            output => return AttemptStop::Output(output),
         }
     }
 }
@@ -215,58 +225,68 @@
 /// # Ends
 impl<C: Clock> CallTask<C> {
     /// Gives the response of an upstream to the caller.
-    async fn answer(mut self, answered: Answered) {
+    async fn send_response(mut self, answered: Answered) {
         let Some(finished) = self.finished.take() else {
-            return self.lose().await;
+            return self.abort().await;
         };
         let took = self.started.elapsed();
-        self.shared.metrics.note_call(&self.new.service, took);
-        let tokens = self.sign(answered.continuation.as_ref(), answered.permit.as_ref());
-        let call = self.new.call;
+        self.shared.metrics.note_call(&self.context.service, took);
+        let tokens = self.sign_tokens(answered.continuation.as_ref(), answered.permit.as_ref());
+        let call = self.context.call;
         if let Some(reply) = finished.reply {
-            self.keep(&reply);
-            let reply = reply.ran(call, &tokens);
-            self.send(ReplyPart::Whole(reply)).await;
+            self.cache_reply(&reply);
+            let reply = reply.with_run_headers(call, &tokens);
+            self.send_part(ReplyPart::Whole(reply)).await;
             return;
         }
-        let body = std::mem::take(&mut self.progress.kept);
-        self.keep(&stream_reply(body));
-        self.send(ReplyPart::Chunk(last_event(call, &tokens))).await;
+        let body = std::mem::take(&mut self.progress.cached_events);
+        self.cache_reply(&build_stream_reply(body));
+        self.send_part(ReplyPart::Chunk(encode_last_event(call, &tokens)))
+            .await;
     }
 
     /// Signs what the caller carries to the next turn.
-    fn sign(&self, continuation: Option<&Continuation>, permit: Option<&Permit>) -> Tokens {
+    fn sign_tokens(
+        &self,
+        continuation: Option<&Continuation>,
+        permit: Option<&Permit>,
+    ) -> SignedTokens {
         let signer = &self.shared.signer;
-        Tokens {
+        SignedTokens {
             continuation: continuation.map(|value| signer.sign(value)),
             permit: permit.map(|value| signer.sign(value)),
         }
     }
 
     /// Keeps a response for a resend.
-    fn keep(&self, reply: &Reply) {
-        if self.new.keeps_answer {
+    fn cache_reply(&self, reply: &Reply) {
+        if self.context.is_cacheable {
             let now_us = self.shared.clock.now_us();
             let answers = &self.shared.answers;
-            answers.keep(now_us, self.new.call, self.new.digest, reply.clone());
+            answers.insert(
+                now_us,
+                self.context.call,
+                self.context.digest,
+                reply.clone(),
+            );
         }
     }
 
     /// Tells the caller that the call is refused.
-    async fn refuse(self, refusal: &Refusal, detail: Option<&str>) {
+    async fn send_refusal(self, refusal: &Refusal, detail: Option<&str>) {
         if !self.progress.forwarded {
             let reply = Reply::refused(refusal, detail);
-            return self.send(ReplyPart::Whole(reply)).await;
+            return self.send_part(ReplyPart::Whole(reply)).await;
         }
         // The status is out already, so that the stream ends with the error.
-        let body = error_body(refusal, detail);
+        let body = build_error_body(refusal, detail);
         let event = Bytes::from(format!("data: {body}\n\n"));
-        self.send(ReplyPart::Chunk(event)).await;
+        self.send_part(ReplyPart::Chunk(event)).await;
     }
 
     /// Gives a kept response to the caller.
-    async fn replay(self, peer: Option<String>, original: CallId, tokens: Tokens) {
-        let digest = self.new.digest;
+    async fn replay_response(self, peer: Option<String>, original: CallId, tokens: SignedTokens) {
+        let digest = self.context.digest;
         let reply = match peer {
             None => self.shared.answers.get(original, digest),
             Some(address) => {
@@ -283,50 +303,53 @@
         };
         let Some(reply) = reply else {
             let refusal = Refusal {
-                call: self.new.call,
+                call: self.context.call,
                 kind: RefusalKind::DuplicateTurn,
                 ran: Execution::Ran,
                 retry_after_ms: None,
             };
             let detail =
                 "the turn ran before; its response is no longer kept, or the content differs";
-            return self.refuse(&refusal, Some(detail)).await;
+            return self.send_refusal(&refusal, Some(detail)).await;
         };
         let mut reply = reply;
         if reply.header("content-type") == Some(EVENT_STREAM) {
             let mut body = reply.body.to_vec();
-            body.extend_from_slice(&last_event(original, &tokens));
+            body.extend_from_slice(&encode_last_event(original, &tokens));
             reply.body = Bytes::from(body);
         }
-        let reply = reply.ran(original, &tokens);
-        self.send(ReplyPart::Whole(reply)).await;
+        let reply = reply.with_run_headers(original, &tokens);
+        self.send_part(ReplyPart::Whole(reply)).await;
     }
 
     /// Ends a call of which the control thread knows nothing any more.
-    async fn lose(self) {
+    async fn abort(self) {
         let ran = if self.finished.is_some() {
             Execution::Ran
         } else {
             Execution::MayHaveRun
         };
         let refusal = Refusal {
-            call: self.new.call,
+            call: self.context.call,
             kind: RefusalKind::UpstreamFailed,
             ran,
             retry_after_ms: None,
         };
-        self.refuse(&refusal, Some("the VM stopped while the call ran"))
+        self.send_refusal(&refusal, Some("the VM stopped while the call ran"))
             .await;
     }
 
     /// Hands the last part to the caller; a caller that is gone misses it.
-    async fn send(&self, part: ReplyPart) {
-        let _ = self.reply.send_timeout(part, SLOW_CALLER).await;
+    async fn send_part(&self, part: ReplyPart) {
+        let _ = self
+            .reply_sender
+            .send_timeout(part, CALLER_SEND_TIMEOUT)
+            .await;
     }
 }
 
 /// Returns a kept stream, without its last event, as a whole response.
-fn stream_reply(body: Vec<u8>) -> Reply {
+fn build_stream_reply(body: Vec<u8>) -> Reply {
     Reply {
         status: 200,
         headers: vec![("content-type".to_owned(), EVENT_STREAM.to_owned())],
--- a/crates/entry/src/daemon/mod.rs
+++ b/crates/entry/src/daemon/mod.rs
@@ -25,7 +25,7 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use crate::call::{InFlight, KeptAnswers};
+use crate::call::{InFlight, ResponseCache};
 use crate::control::{InputSender, Status, StatusReader};
 use crate::front::Shared;
 use crate::inbox::Inbox;
@@ -147,7 +147,7 @@
         upstream: UpstreamClient::new()?,
         last_alive: LastAlive::default(),
         signer: Signer::new(derive_secret(secret, "sign")?.as_bytes())?,
-        answers: KeptAnswers::new(settings.answer_keep_ms),
+        answers: ResponseCache::new(settings.answer_keep_ms),
         metrics: Arc::new(Metrics::new()?),
         in_flight: InFlight::default(),
         ids: CallIds::new(core.incarnation),
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -28,7 +28,7 @@
         let left = has_left(shared.status.clone());
         let drained = async {
             left.await;
-            shared.in_flight.empty().await;
+            shared.in_flight.wait_until_empty().await;
         };
         if timeout(self.drain, drained).await.is_err() {
             self.cut_list().log("`drain_ms`");
--- a/crates/entry/src/front/completions.rs
+++ b/crates/entry/src/front/completions.rs
@@ -15,7 +15,7 @@
 use super::respond::Answer;
 use super::services::read_body;
 use super::shared::Shared;
-use crate::call::{CallKind, NewTask};
+use crate::call::{CallContext, CallKind};
 use crate::upstream::UpstreamRequest;
 use knapweeddale_runtime::Clock;
 
@@ -76,12 +76,12 @@
             .max_tokens(body.max_tokens)
             .digest(digest)
             .build();
-        let task = NewTask {
+        let context = CallContext {
             call: id,
             kind: body.kind(),
             digest,
             service,
-            keeps_answer: headers.program.is_some(),
+            is_cacheable: headers.program.is_some(),
             request: UpstreamRequest {
                 call: id,
                 method: Method::POST,
@@ -90,7 +90,7 @@
                 body: body.for_engine().into(),
             },
         };
-        self.open(new, task).await
+        self.open(new, context).await
     }
 
     /// Refuses new programs while the VM is stopping.
--- a/crates/entry/src/front/open.rs
+++ b/crates/entry/src/front/open.rs
@@ -8,7 +8,7 @@
 use super::refuse::FrontError;
 use super::respond::Answer;
 use super::shared::Shared;
-use crate::call::{CallTask, NewTask, ReplyPart};
+use crate::call::{CallContext, CallTask, ReplyPart};
 use crate::control::{CallOutput, Message};
 use knapweeddale_runtime::Clock;
 
@@ -18,7 +18,11 @@
 
 impl<C: Clock> Shared<C> {
     /// Opens a call and waits for the start of its response.
-    pub async fn open(self: &Arc<Self>, new: NewCall, task: NewTask) -> Result<Answer, FrontError> {
+    pub async fn open(
+        self: &Arc<Self>,
+        new: NewCall,
+        context: CallContext,
+    ) -> Result<Answer, FrontError> {
         let call = new.id;
         let (outputs, receiver) = mpsc::channel::<CallOutput>(CALL_OUTPUTS);
         let input = Input::CallArrived(Box::new(new));
@@ -30,8 +34,8 @@
             })
             .map_err(|_| FrontError::overloaded())?;
         let (reply, mut parts) = mpsc::channel(self.response_queue_len);
-        let guard = self.in_flight.enter(call);
-        tokio::spawn(CallTask::new(Arc::clone(self), task, receiver, reply).run());
+        let guard = self.in_flight.register(call);
+        tokio::spawn(CallTask::new(Arc::clone(self), context, receiver, reply).run());
         match parts.recv().await {
             Some(ReplyPart::Whole(reply)) => Ok(Answer::Whole(reply)),
             Some(ReplyPart::Start | ReplyPart::Chunk(_)) => Ok(Answer::Events {
--- a/crates/entry/src/front/programs.rs
+++ b/crates/entry/src/front/programs.rs
@@ -94,7 +94,7 @@
             Some(CallOutput::Permit(permit)) => {
                 let token = self.signer.sign(&*permit);
                 let body = json!({"turn": permit.turn, "permit": token});
-                Reply::json(200, &body).with("kwd-permit", token)
+                Reply::json(200, &body).with_header("kwd-permit", token)
             }
             Some(CallOutput::Ended) => Reply::json(200, &json!({"ended": true})),
             Some(CallOutput::Refused(refusal)) => Reply::refused(&refusal, None),
--- a/crates/entry/src/front/routes.rs
+++ b/crates/entry/src/front/routes.rs
@@ -141,6 +141,6 @@
         "remedy": remedy,
         "retry_after_ms": null,
     }});
-    let reply = Reply::json(status.code, &error).with("kwd-ran", "not_run");
+    let reply = Reply::json(status.code, &error).with_header("kwd-ran", "not_run");
     Box::pin(async move { Answer::Whole(reply).respond_to(request) })
 }
--- a/crates/entry/src/front/services.rs
+++ b/crates/entry/src/front/services.rs
@@ -13,7 +13,7 @@
 use super::refuse::FrontError;
 use super::respond::Answer;
 use super::shared::Shared;
-use crate::call::{CallKind, NewTask};
+use crate::call::{CallContext, CallKind};
 use crate::upstream::UpstreamRequest;
 use knapweeddale_runtime::Clock;
 
@@ -59,12 +59,12 @@
             .maybe_permit(headers.permit.clone())
             .digest(digest)
             .build();
-        let task = NewTask {
+        let context = CallContext {
             call: id,
             kind: CallKind::Plain,
             digest,
             service: label,
-            keeps_answer: headers.program.is_some(),
+            is_cacheable: headers.program.is_some(),
             request: UpstreamRequest {
                 call: id,
                 method: Method::from_bytes(method.as_bytes()).map_err(FrontError::malformed)?,
@@ -73,7 +73,7 @@
                 body: raw.into(),
             },
         };
-        self.open(new, task).await
+        self.open(new, context).await
     }
 }
 
--- a/crates/entry/src/front/shared.rs
+++ b/crates/entry/src/front/shared.rs
@@ -9,7 +9,7 @@
 
 use knapweeddale_runtime::CallIds;
 
-use crate::call::{InFlight, KeptAnswers};
+use crate::call::{InFlight, ResponseCache};
 use crate::control::{InputSender, StatusReader};
 use crate::metrics::Metrics;
 use crate::upstream::{LastAlive, UpstreamClient};
@@ -27,7 +27,7 @@
     pub upstream: UpstreamClient,
     pub last_alive: LastAlive,
     pub signer: Signer,
-    pub answers: KeptAnswers,
+    pub answers: ResponseCache,
     pub metrics: Arc<Metrics>,
     pub in_flight: InFlight,
     pub ids: CallIds,
