--- a/crates/entry/src/call/attempt.rs
+++ b/crates/entry/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call on one upstream.
+//! Attempts: one request of a call to one upstream.
 
 use std::time::Duration;
 
@@ -17,37 +17,37 @@
 };
 use knapweeddale_runtime::Clock;
 
-/// Longest wait for a caller to read. A caller that reads more slowly than an
-/// engine generates for this long has stopped reading.
+/// Timeout for sending a part to the caller. The queue stays full this long only if the caller
+/// has stopped reading.
 pub(super) const CALLER_SEND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Largest response of a plain service, which is held in memory.
+/// Maximum body of a response from a plain service, which is buffered in memory.
 const MAX_PLAIN_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Statuses by which an upstream refuses a request without running it.
+/// Statuses with which an upstream refuses a request without running it.
 const REFUSAL_STATUSES: [u16; 2] = [429, 503];
 
-/// What an attempt has achieved so far; it outlives a cancelled attempt.
+/// Progress of an attempt; still available after the attempt is cancelled.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    /// Parts of the answer that have arrived.
+    /// Answer tokens received so far.
     pub answer_tokens: u64,
-    /// Whether any part of the response reached the caller.
+    /// Whether any part of the response was sent to the caller.
     pub forwarded: bool,
-    /// The bytes of a stream so far, if they are kept for a resend.
+    /// The events sent so far; empty unless the response is cacheable.
     pub cached_events: Vec<u8>,
 }
 
-/// A complete response of an upstream.
+/// The result of an attempt that received a complete response.
 #[derive(Debug)]
 pub(super) struct CompletedAttempt {
-    /// What the core learns.
+    /// The token counts and history to report to the core.
     pub outcome: AttemptOutcome,
-    /// The response; `None` if it went to the caller as a stream.
+    /// The response; `None` if it was already sent to the caller as a stream.
     pub reply: Option<Reply>,
 }
 
-/// One attempt of a call on one upstream.
+/// An attempt and the parts of its call that it uses.
 pub(super) struct Attempt<'a, C> {
     pub shared: &'a Shared<C>,
     pub dispatch: &'a Dispatch,
@@ -59,7 +59,7 @@
     pub progress: &'a mut Progress,
 }
 
-/// Reports progress of an attempt to the core.
+/// Reports the progress of an attempt to the core.
 pub(super) async fn report_progress<C: Clock>(
     shared: &Shared<C>,
     attempt: AttemptId,
@@ -70,11 +70,11 @@
 }
 
 impl<C: Clock> Attempt<'_, C> {
-    /// Runs the attempt to its end.
+    /// Sends the request and reads the response.
     pub async fn run(mut self) -> Result<CompletedAttempt, Failure> {
         report_progress(self.shared, self.dispatch.attempt, AttemptProgress::Sent).await;
-        // Checked last before the request leaves: the permission to start may
-        // have run out while the process was paused.
+        // The permission to start may have expired while the process was paused, so it is
+        // checked immediately before the request is sent.
         if self.shared.clock.now_us() >= self.dispatch.valid_until_us {
             return Err(Failure::NotSent);
         }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Notes the first token or byte.
+    /// Reports the first token or byte to the core and records the time it took.
     async fn record_first_token(&self, started: Instant) {
         let attempt = self.dispatch.attempt;
         report_progress(self.shared, attempt, AttemptProgress::FirstToken).await;
@@ -99,7 +99,7 @@
         self.shared.metrics.note_first_token(self.service, took);
     }
 
-    /// Returns the failure of a broken or silent connection.
+    /// Returns the failure for a connection that broke, or timed out if `is_silent`.
     fn connection_failure(&self, is_silent: bool) -> Failure {
         let answer_tokens = self.progress.answer_tokens;
         let forwarded = self.progress.forwarded;
@@ -119,7 +119,7 @@
 
 /// # Engines
 impl<C: Clock> Attempt<'_, C> {
-    /// Reads the events of an engine and forwards them if the caller streams.
+    /// Reads the events of an engine and forwards them if the caller requested a stream.
     async fn run_engine(
         &mut self,
         response: Response,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Forwards an event to a caller that streams.
+    /// Forwards an event if the caller requested a stream.
     async fn forward_event(&mut self, event: Bytes) -> Result<(), Failure> {
         if !self.kind.is_streaming() {
             return Ok(());
@@ -173,7 +173,7 @@
         self.send_part(ReplyPart::Chunk(event)).await
     }
 
-    /// Hands a part to the caller.
+    /// Sends a part of the response to the caller.
     async fn send_part(&self, part: ReplyPart) -> Result<(), Failure> {
         let answer_tokens = self.progress.answer_tokens;
         let sent = self
@@ -183,7 +183,7 @@
         sent.map_err(|_| Failure::CallerGone { answer_tokens })
     }
 
-    /// Returns the result of a complete stream of events.
+    /// Builds the result of an attempt whose event stream is complete.
     fn finish_engine(&self, completion: &Completion) -> CompletedAttempt {
         let CallKind::Engine {
             history,
@@ -204,7 +204,7 @@
 
 /// # Plain services
 impl<C: Clock> Attempt<'_, C> {
-    /// Reads the whole response of a plain service.
+    /// Reads the response of a plain service into memory.
     async fn run_plain(
         &mut self,
         mut response: Response,
--- a/crates/entry/src/call/describe.rs
+++ b/crates/entry/src/call/describe.rs
@@ -1,14 +1,14 @@
-//! What callers read about a refusal.
+//! Messages for refused calls.
 
 use knapweeddale_core::RefusalKind;
 
-/// Returns one sentence about a refusal; the remedy is stated apart from it.
+/// Returns the message for a kind of refusal, without the remedy, which is a field of its own.
 pub(super) fn describe_refusal(kind: RefusalKind) -> &'static str {
     match kind {
         RefusalKind::KeyMissing => "the request carries no key",
         RefusalKind::KeyUnknown => "the key is not known",
         RefusalKind::KeyWithdrawn => "the key has been withdrawn",
-        RefusalKind::Isolated => "this VM cannot learn about withdrawn keys at present",
+        RefusalKind::Isolated => "this VM cannot receive withdrawals of keys at present",
         RefusalKind::NotConfigured => "this VM has no configuration yet",
         RefusalKind::BudgetUnknown => "the store did not confirm the program's budget",
         RefusalKind::ModelUnknown => "no service offers the model",
--- a/crates/entry/src/call/in_flight.rs
+++ b/crates/entry/src/call/in_flight.rs
@@ -1,4 +1,4 @@
-//! Calls that are not answered completely.
+//! Tracking of calls in flight.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,7 +6,7 @@
 use knapweeddale_core::CallId;
 use tokio::sync::Notify;
 
-/// The calls whose response has not been handed to the caller completely.
+/// The calls whose response has not been sent to the caller completely.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InFlight(Arc<Inner>);
 
@@ -17,7 +17,7 @@
 }
 
 impl InFlight {
-    /// Adds a call until the guard is dropped.
+    /// Adds a call, which counts as in flight until the guard is dropped.
     pub fn register(&self, call: CallId) -> InFlightGuard {
         self.0.lock().insert(call);
         InFlightGuard {
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Returns the calls.
+    /// Returns the IDs of the calls in flight.
     pub fn calls(&self) -> Vec<CallId> {
         self.0.lock().iter().copied().collect()
     }
 
-    /// Waits until there is no call.
+    /// Waits until no call is in flight.
     pub async fn wait_until_empty(&self) {
         loop {
             let emptied = self.0.emptied.notified();
@@ -49,7 +49,7 @@
     }
 }
 
-/// Keeps a call among those in flight.
+/// Marks a call as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard {
     inner: Arc<Inner>,
--- a/crates/entry/src/call/mod.rs
+++ b/crates/entry/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! The traffic side of a call: one task from arrival to the last byte.
+//! Calls on the traffic side: each has one task, from its arrival to the last byte sent.
 
 mod attempt;
 mod describe;
--- a/crates/entry/src/call/reply.rs
+++ b/crates/entry/src/call/reply.rs
@@ -1,4 +1,4 @@
-//! What the caller gets.
+//! Responses to callers.
 
 use bytes::Bytes;
 use knapweeddale_core::{CallId, Execution, Refusal};
@@ -6,20 +6,20 @@
 
 use super::describe::describe_refusal;
 
-/// The content type of a stream of events.
+/// The content type of server-sent events.
 pub(crate) const EVENT_STREAM: &str = "text/event-stream";
 
 /// The signed values that the caller carries to the next turn.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct SignedTokens {
-    /// The state of the program.
+    /// The signed state of the program; `None` for a call outside a program.
     pub continuation: Option<String>,
-    /// The permit for a turn that may not be repeated.
+    /// The signed permit for a next turn that may not be repeated; `None` if none was issued.
     pub permit: Option<String>,
 }
 
 impl SignedTokens {
-    /// Returns the values that are present, with their names.
+    /// Returns the tokens that are present, with their header names.
     fn entries(&self) -> impl Iterator<Item = (&'static str, &str)> {
         let named = [
             ("kwd-continuation", &self.continuation),
@@ -31,30 +31,30 @@
     }
 }
 
-/// A part of the response to a caller.
+/// A part of a response, sent from the task of a call to the front end.
 #[derive(Debug)]
 pub(crate) enum ReplyPart {
-    /// The whole response.
+    /// A whole response.
     Whole(Reply),
-    /// The head of a stream of events; chunks follow.
+    /// The start of a stream of events; chunks follow.
     Start,
-    /// A part of a stream.
+    /// Bytes of a stream.
     Chunk(Bytes),
 }
 
 /// A whole response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Reply {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The headers.
+    /// Names and values of the headers; names are in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body, whole.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// Makes a response with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: &Value) -> Self {
         Self {
             status,
@@ -81,7 +81,7 @@
             .fold(reply, |reply, (name, value)| reply.with_header(name, value))
     }
 
-    /// Makes the response to a refused call. `detail` replaces the general message.
+    /// Creates the response to a refused call; `detail` replaces the general message.
     pub fn refused(refusal: &Refusal, detail: Option<&str>) -> Self {
         let reply = Self::json(refusal.kind.status(), &build_error_body(refusal, detail))
             .with_header("kwd-call", refusal.call)
@@ -92,14 +92,14 @@
         }
     }
 
-    /// Returns the value of a header.
+    /// Returns the value of the header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let header = self.headers.iter().find(|(key, _)| key == name);
         header.map(|(_, value)| value.as_str())
     }
 }
 
-/// Returns the body of a refusal.
+/// Builds the JSON body of a refusal; `detail` replaces the general message.
 pub(crate) fn build_error_body(refusal: &Refusal, detail: Option<&str>) -> Value {
     let message = match (detail, refusal.ran) {
         (Some(detail), _) => detail.to_owned(),
@@ -120,8 +120,9 @@
     }})
 }
 
-/// Returns the last event of a stream, in the form of a chunk without choices,
-/// which clients of model APIs pass over, and the usual end mark.
+/// Encodes the last event of a stream and the usual `[DONE]` marker.
+///
+/// The event is a chunk without choices, which clients of model APIs ignore.
 pub(crate) fn encode_last_event(call: CallId, tokens: &SignedTokens) -> Bytes {
     let mut event = Map::new();
     event.insert("object".to_owned(), json!("chat.completion.chunk"));
--- a/crates/entry/src/call/response_cache.rs
+++ b/crates/entry/src/call/response_cache.rs
@@ -1,4 +1,4 @@
-//! Responses kept for resends.
+//! Cache of responses for calls that callers send again.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,10 +9,12 @@
 
 use super::reply::Reply;
 
-/// Bytes of all kept responses; a quarter of what a VM may use for control.
+/// Maximum total size of cached bodies: a quarter of the memory that a VM may use for control.
 const MAX_CACHED_BYTES: usize = 64 * 1024 * 1024;
 
-/// Responses kept for resends, for a limited time and up to a limited size.
+/// Responses that are returned again when a caller repeats a call.
+///
+/// Bounded by age and by the total size of the bodies.
 #[derive(Debug)]
 pub(crate) struct ResponseCache {
     retention_us: u64,
@@ -22,7 +24,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     responses: HashMap<CallId, (ContentDigest, Reply)>,
-    /// Calls in the order in which they expire.
+    /// Expiry times with their calls, earliest first.
     expiry: VecDeque<(u64, CallId)>,
     bytes: usize,
 }
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Keeps the response of a call.
+    /// Stores the response to a call and evicts old entries.
     pub fn insert(&self, now_us: u64, call: CallId, digest: ContentDigest, reply: Reply) {
         let mut inner = self.lock();
         inner.bytes += reply.body.len();
@@ -44,7 +46,7 @@
         inner.evict(now_us);
     }
 
-    /// Returns the response of a call whose content had this digest.
+    /// Returns the response to a call, or `None` if it is not cached or `digest` differs.
     pub fn get(&self, call: CallId, digest: ContentDigest) -> Option<Reply> {
         let inner = self.lock();
         let (cached_digest, reply) = inner.responses.get(&call)?;
@@ -57,7 +59,7 @@
 }
 
 impl Inner {
-    /// Drops responses that have expired or exceed the size.
+    /// Removes expired responses, and the oldest ones while the size limit is exceeded.
     fn evict(&mut self, now_us: u64) {
         while let Some(&(expires_us, call)) = self.expiry.front() {
             if expires_us > now_us && self.bytes <= MAX_CACHED_BYTES {
--- a/crates/entry/src/call/task.rs
+++ b/crates/entry/src/call/task.rs
@@ -1,4 +1,4 @@
-//! The task that accompanies a call from arrival to the last byte.
+//! The task of a call.
 
 use std::sync::Arc;
 
@@ -23,47 +23,47 @@
 use crate::upstream::UpstreamRequest;
 use knapweeddale_runtime::Clock;
 
-/// What differs between calls to engines and to plain services.
+/// The kind of a call, with the data that only this kind has.
 #[derive(Debug, Clone)]
 pub(crate) enum CallKind {
-    /// A completion by a model.
+    /// A completion, run by an engine.
     Engine {
-        /// Whether the caller reads a stream.
+        /// Whether the caller requested a stream.
         stream: bool,
-        /// The messages of the request.
+        /// The digest chain of the messages in the request.
         history: HistoryChain,
-        /// Tokens of the prompt, as estimated.
+        /// Estimated number of prompt tokens.
         prompt_tokens: u64,
     },
-    /// A request to a plain service, which has no messages.
+    /// A request to a plain service.
     Plain,
 }
 
 impl CallKind {
-    /// Returns whether the caller reads a stream.
+    /// Returns whether the caller requested a stream.
     pub fn is_streaming(&self) -> bool {
         matches!(self, Self::Engine { stream: true, .. })
     }
 }
 
-/// A call as the front end hands it over.
+/// What a task needs to begin.
 #[derive(Debug)]
 pub(crate) struct CallContext {
-    /// The call.
+    /// The ID of the call.
     pub call: CallId,
-    /// The request for upstreams.
+    /// The request to send to upstreams.
     pub request: UpstreamRequest,
-    /// What kind of call it is.
+    /// Whether the call is a completion or a request to a plain service.
     pub kind: CallKind,
-    /// Identifies the content across resends.
+    /// Digest of the content; a repeated call must have the same one to get a cached response.
     pub digest: ContentDigest,
-    /// The service, as a bounded label.
+    /// Metric label of the service; has a bounded number of values.
     pub service: String,
-    /// Whether the response is kept for a resend.
+    /// Whether the response is cached, in case the caller repeats the call.
     pub is_cacheable: bool,
 }
 
-/// The task of a call.
+/// The task of a call: carries out what the core decides for it.
 pub(crate) struct CallTask<C> {
     shared: Arc<Shared<C>>,
     context: CallContext,
@@ -78,18 +78,18 @@
 
 /// Why a running attempt stopped.
 enum AttemptStop {
-    /// It came to its end.
+    /// The attempt completed or failed.
     Ended(Result<CompletedAttempt, Failure>),
     /// The core cancelled it.
     Cancelled,
-    /// The core put out something else for the call.
+    /// The core sent another output for the call, or `None` if the channel closed.
     Output(Option<CallOutput>),
     /// The caller disconnected.
     CallerGone,
 }
 
 impl<C: Clock> CallTask<C> {
-    /// Makes the task of a call.
+    /// Creates the task of a call and registers the call as in flight.
     pub fn new(
         shared: Arc<Shared<C>>,
         context: CallContext,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Accompanies the call to its end.
+    /// Carries out the outputs of the core until the call has ended.
     pub async fn run(mut self) {
         let mut next = self.next_output().await;
         loop {
@@ -133,7 +133,8 @@
                     let tokens = self.sign_tokens(Some(&continuation), permit.as_deref());
                     return self.replay_response(peer, original, tokens).await;
                 }
-                // The first has come too late; the others answer requests, not calls.
+                // No attempt is running that could be cancelled; the other two outputs belong to
+                // requests about programs, not to calls.
                 Some(CallOutput::Cancel(_) | CallOutput::Permit(_) | CallOutput::Ended) => {
                     self.next_output().await
                 }
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Waits for an output, and tells the core once if the caller disconnects.
+    /// Waits for the next output; reports once to the core if the caller disconnects.
     async fn next_output(&mut self) -> Option<CallOutput> {
         if !self.is_disconnected && self.finished.is_none() {
             tokio::select! {
@@ -160,7 +161,7 @@
 
 /// # Attempts
 impl<C: Clock> CallTask<C> {
-    /// Runs an attempt; returns an output of the core that came instead of its end.
+    /// Runs an attempt and reports its result; returns the output that interrupted it, if any.
     async fn handle_dispatch(&mut self, dispatch: &Dispatch) -> Option<Option<CallOutput>> {
         let attempt = dispatch.attempt;
         self.progress = Progress {
@@ -185,8 +186,9 @@
         None
     }
 
-    /// Runs an attempt until it ends or is stopped. Dropping the attempt
-    /// closes its connection, by which the engine learns of the cancellation.
+    /// Runs an attempt until it ends or is interrupted.
+    ///
+    /// Dropping the attempt closes its connection, which cancels the request at the engine.
     async fn run_attempt(&mut self, dispatch: &Dispatch) -> AttemptStop {
         let run = Attempt {
             shared: &self.shared,
@@ -206,7 +208,7 @@
     }
 }
 
-/// Waits for an output that stops a running attempt.
+/// Waits for an output that interrupts the running attempt.
 async fn wait_for_interruption(
     outputs: &mut mpsc::Receiver<CallOutput>,
     running: AttemptId,
@@ -222,9 +224,9 @@
     }
 }
 
-/// # Ends
+/// # Final responses
 impl<C: Clock> CallTask<C> {
-    /// Gives the response of an upstream to the caller.
+    /// Sends the response of an upstream, or the end of its stream, to the caller.
     async fn send_response(mut self, answered: Answered) {
         let Some(finished) = self.finished.take() else {
             return self.abort().await;
@@ -245,7 +247,7 @@
             .await;
     }
 
-    /// Signs what the caller carries to the next turn.
+    /// Signs the tokens that the caller sends with the next turn.
     fn sign_tokens(
         &self,
         continuation: Option<&Continuation>,
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Keeps a response for a resend.
+    /// Caches a response in case the caller repeats the call.
     fn cache_reply(&self, reply: &Reply) {
         if self.context.is_cacheable {
             let now_us = self.shared.clock.now_us();
@@ -272,19 +274,20 @@
         }
     }
 
-    /// Tells the caller that the call is refused.
+    /// Sends a refusal to the caller; `detail` replaces the general message.
     async fn send_refusal(self, refusal: &Refusal, detail: Option<&str>) {
         if !self.progress.forwarded {
             let reply = Reply::refused(refusal, detail);
             return self.send_part(ReplyPart::Whole(reply)).await;
         }
-        // The status is out already, so that the stream ends with the error.
+        // The status was already sent, so the error becomes the last event of the stream.
         let body = build_error_body(refusal, detail);
         let event = Bytes::from(format!("data: {body}\n\n"));
         self.send_part(ReplyPart::Chunk(event)).await;
     }
 
-    /// Gives a kept response to the caller.
+    /// Sends the cached response of the original call to the caller, fetching it from a peer
+    /// if one is given.
     async fn replay_response(self, peer: Option<String>, original: CallId, tokens: SignedTokens) {
         let digest = self.context.digest;
         let reply = match peer {
@@ -295,7 +298,9 @@
                 match fetched {
                     Ok(answer) => answer.map(Reply::from),
                     Err(error) => {
-                        tracing::warn!("homes: no kept response of call {original}, {error}");
+                        tracing::warn!(
+                            "homes: cannot fetch the response of call {original} from {address}, {error}"
+                        );
                         None
                     }
                 }
@@ -309,7 +314,7 @@
                 retry_after_ms: None,
             };
             let detail =
-                "the turn ran before; its response is no longer kept, or the content differs";
+                "the turn ran before; its response is no longer cached, or the content differs";
             return self.send_refusal(&refusal, Some(detail)).await;
         };
         let mut reply = reply;
@@ -322,7 +327,7 @@
         self.send_part(ReplyPart::Whole(reply)).await;
     }
 
-    /// Ends a call of which the control thread knows nothing any more.
+    /// Refuses a call that the control thread no longer tracks.
     async fn abort(self) {
         let ran = if self.finished.is_some() {
             Execution::Ran
@@ -339,7 +344,7 @@
             .await;
     }
 
-    /// Hands the last part to the caller; a caller that is gone misses it.
+    /// Sends the last part to the caller; has no effect if the caller disconnected.
     async fn send_part(&self, part: ReplyPart) {
         let _ = self
             .reply_sender
@@ -348,7 +353,7 @@
     }
 }
 
-/// Returns a kept stream, without its last event, as a whole response.
+/// Builds a whole response from the events of a stream, without the last event.
 fn build_stream_reply(body: Vec<u8>) -> Reply {
     Reply {
         status: 200,
