--- a/crates/relay/src/call/attempt.rs
+++ b/crates/relay/src/call/attempt.rs
@@ -97,7 +97,7 @@
         let sent = Instant::now();
         self.shared
             .metrics
-            .note(Stage::Connect, sent.duration_since(started));
+            .observe_stage(Stage::Connect, sent.duration_since(started));
         let end = self.exchange(&mut connection, deadline).await;
         self.progress.upstream_time += sent.elapsed();
         match end {
@@ -291,7 +291,9 @@
                     Stage::EventGap
                 };
                 let now = Instant::now();
-                self.shared.metrics.note(stage, now.duration_since(last));
+                self.shared
+                    .metrics
+                    .observe_stage(stage, now.duration_since(last));
                 (last, is_first) = (now, false);
                 // A resumed stream may begin with an event that the caller has.
                 if event.id.is_some() && event.id <= self.progress.last_event_id {
--- a/crates/relay/src/call/task.rs
+++ b/crates/relay/src/call/task.rs
@@ -95,7 +95,7 @@
     async fn run_attempt(&mut self, dispatch: &Dispatch) {
         if self.progress.upstream_time.is_zero() {
             let queued = self.arrived.elapsed();
-            self.shared.metrics.note(Stage::Queue, queued);
+            self.shared.metrics.observe_stage(Stage::Queue, queued);
         }
         self.progress.forwarded_tokens = 0;
         self.progress.may_be_sent = false;
@@ -153,8 +153,8 @@
     fn record_answer(&self) {
         let whole = self.arrived.elapsed();
         let metrics = &self.shared.metrics;
-        metrics.note(Stage::Whole, whole);
-        metrics.note(
+        metrics.observe_stage(Stage::Whole, whole);
+        metrics.observe_stage(
             Stage::Added,
             whole.saturating_sub(self.progress.upstream_time),
         );
--- a/crates/relay/src/charges/list.rs
+++ b/crates/relay/src/charges/list.rs
@@ -64,8 +64,8 @@
                 list.torn_lines += 1;
                 continue;
             };
-            let is_asked = record.account == account && span_ms.contains(&record.ended_ms);
-            if is_asked && seen.insert(record.attempt.clone()) {
+            let is_selected = record.account == account && span_ms.contains(&record.ended_ms);
+            if is_selected && seen.insert(record.attempt.clone()) {
                 list.records.push(record);
             }
         }
--- a/crates/relay/src/charges/mod.rs
+++ b/crates/relay/src/charges/mod.rs
@@ -9,7 +9,7 @@
 mod writer;
 
 pub use list::{ChargeList, ListError, list_charges};
-pub(crate) use rpc::{ChargeBatch, ChargeRpcServer, keep};
+pub(crate) use rpc::{ChargeBatch, ChargeRpcServer, send_batch};
 pub(crate) use writer::ChargeWriter;
 
 use knapweeddale_core::Charge;
--- a/crates/relay/src/charges/rpc.rs
+++ b/crates/relay/src/charges/rpc.rs
@@ -25,11 +25,11 @@
 pub(crate) trait ChargeRpc {
     /// Stores a batch; returns once the batch has been synced to the disk.
     #[method(name = "keep")]
-    async fn keep(&self, batch: ChargeBatch) -> RpcResult<()>;
+    async fn store_batch(&self, batch: ChargeBatch) -> RpcResult<()>;
 }
 
 /// Sends a batch to the VM with a disk at `address` and waits until it has been stored.
-pub(crate) async fn keep(
+pub(crate) async fn send_batch(
     address: &str,
     batch: ChargeBatch,
     limit: Duration,
@@ -37,5 +37,5 @@
     let client = HttpClient::builder()
         .request_timeout(limit)
         .build(format!("http://{address}"))?;
-    client.keep(batch).await
+    client.store_batch(batch).await
 }
--- a/crates/relay/src/charges/writer.rs
+++ b/crates/relay/src/charges/writer.rs
@@ -7,11 +7,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::{ChargeBatch, ChargeRecord, keep};
+use super::{ChargeBatch, ChargeRecord, send_batch};
 use crate::metrics::Metrics;
 
 /// Interval between two batches while records are queued.
-const INTERVAL: Duration = Duration::from_millis(1_000);
+const BATCH_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Delay before a batch that was not stored is sent to the next VM.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -19,22 +19,22 @@
 /// Time limit for sending the remaining records when the process ends.
 ///
 /// Less than the part of the grace period that the daemon reserves for shutdown.
-const END_LIMIT: Duration = Duration::from_millis(600);
+const SHUTDOWN_LIMIT: Duration = Duration::from_millis(600);
 
 /// Time limit for a batch to be stored.
-const TIMEOUT: Duration = Duration::from_millis(800);
+const BATCH_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Time limit for a batch to be stored while the process ends.
-const END_TIMEOUT: Duration = Duration::from_millis(300);
+const SHUTDOWN_BATCH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Delay after a failure while the process ends.
-const END_PAUSE: Duration = Duration::from_millis(20);
+const SHUTDOWN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Maximum number of records in a batch.
-const BATCH_RECORDS: usize = 2_000;
+const MAX_BATCH_RECORDS: usize = 2_000;
 
 /// Maximum number of records queued in memory while no VM with a disk answers.
-const KEPT_RECORDS: usize = 50_000;
+const MAX_QUEUED_RECORDS: usize = 50_000;
 
 /// Queues charge records and sends them in batches to one VM with a disk at a time.
 #[derive(Debug)]
@@ -44,15 +44,15 @@
     /// Addresses of VMs with a disk, those in this VM's failure domain first.
     keepers: watch::Receiver<Vec<String>>,
     metrics: Arc<Metrics>,
-    waiting: VecDeque<ChargeRecord>,
+    queue: VecDeque<ChargeRecord>,
     /// The batch that has been sent but not confirmed.
-    open: Option<ChargeBatch>,
+    unconfirmed: Option<ChargeBatch>,
     /// Sequence number of the last batch.
-    number: u64,
+    last_number: u64,
     /// Index of the keeper in use, modulo the number of keepers.
-    at: usize,
+    keeper_index: usize,
     /// Whether the last batch failed, so that only changes are logged.
-    is_lost: bool,
+    has_failed: bool,
 }
 
 impl ChargeWriter {
@@ -68,95 +68,95 @@
             records,
             keepers,
             metrics,
-            waiting: VecDeque::new(),
-            open: None,
-            number: 0,
-            at: 0,
-            is_lost: false,
+            queue: VecDeque::new(),
+            unconfirmed: None,
+            last_number: 0,
+            keeper_index: 0,
+            has_failed: false,
         }
     }
 
     /// Sends records until the control thread ends, then the remaining ones within a time limit.
     pub async fn run(mut self) {
-        let mut due = Instant::now() + INTERVAL;
+        let mut due = Instant::now() + BATCH_INTERVAL;
         loop {
-            let has_work = self.open.is_some() || !self.waiting.is_empty();
+            let has_work = self.unconfirmed.is_some() || !self.queue.is_empty();
             tokio::select! {
                 record = self.records.recv() => match record {
                     Some(record) => {
                         if !has_work {
-                            due = Instant::now() + INTERVAL;
+                            due = Instant::now() + BATCH_INTERVAL;
                         }
-                        self.add(record);
+                        self.enqueue(record);
                     }
                     None => break,
                 },
                 () = sleep_until(due), if has_work => {
-                    let is_kept = self.send(TIMEOUT).await;
-                    due = Instant::now() + if is_kept { INTERVAL } else { RETRY_INTERVAL };
+                    let is_stored = self.send_next(BATCH_TIMEOUT).await;
+                    due = Instant::now() + if is_stored { BATCH_INTERVAL } else { RETRY_INTERVAL };
                 }
             }
         }
-        let end = Instant::now() + END_LIMIT;
-        while (self.open.is_some() || !self.waiting.is_empty()) && Instant::now() < end {
-            if !self.send(END_TIMEOUT).await {
-                sleep(END_PAUSE).await;
+        let end = Instant::now() + SHUTDOWN_LIMIT;
+        while (self.unconfirmed.is_some() || !self.queue.is_empty()) && Instant::now() < end {
+            if !self.send_next(SHUTDOWN_BATCH_TIMEOUT).await {
+                sleep(SHUTDOWN_RETRY_INTERVAL).await;
             }
         }
-        let left = self.waiting.len() + self.open.map_or(0, |open| open.records.len());
-        if left > 0 {
-            tracing::error!("charges: {left} records lost at the end of the process");
+        let remaining = self.queue.len() + self.unconfirmed.map_or(0, |batch| batch.records.len());
+        if remaining > 0 {
+            tracing::error!("charges: {remaining} records lost at the end of the process");
         }
     }
 
     /// Queues a record, dropping the oldest one if the queue is full.
-    fn add(&mut self, record: ChargeRecord) {
-        if self.waiting.len() >= KEPT_RECORDS && self.waiting.pop_front().is_some() {
+    fn enqueue(&mut self, record: ChargeRecord) {
+        if self.queue.len() >= MAX_QUEUED_RECORDS && self.queue.pop_front().is_some() {
             self.metrics.count_lost_charge();
             tracing::error!("charges: record lost, no VM with a disk answers");
         }
-        self.waiting.push_back(record);
+        self.queue.push_back(record);
     }
 
     /// Sends one batch and returns whether it was stored; after a failure the next keeper is used.
-    async fn send(&mut self, limit: Duration) -> bool {
+    async fn send_next(&mut self, limit: Duration) -> bool {
         let keepers = self.keepers.borrow().clone();
         let Some(batch) = self.next_batch().filter(|_| !keepers.is_empty()) else {
             return false;
         };
-        let keeper = &keepers[self.at % keepers.len()];
+        let keeper = &keepers[self.keeper_index % keepers.len()];
         let records = batch.records.len();
-        let kept = keep(keeper, batch, limit).await;
-        let is_kept = kept.is_ok();
-        match kept {
+        let result = send_batch(keeper, batch, limit).await;
+        let is_stored = result.is_ok();
+        match result {
             Ok(()) => {
-                self.open = None;
-                if std::mem::take(&mut self.is_lost) {
+                self.unconfirmed = None;
+                if std::mem::take(&mut self.has_failed) {
                     tracing::info!(keeper, "charges: a VM with a disk answers again");
                 }
                 tracing::debug!(keeper, records, "charges: batch kept");
             }
             Err(error) => {
-                self.at += 1;
-                if !std::mem::replace(&mut self.is_lost, true) {
+                self.keeper_index += 1;
+                if !std::mem::replace(&mut self.has_failed, true) {
                     tracing::warn!(keeper, records, "charges: batch not kept ({error})");
                 }
             }
         }
-        is_kept
+        is_stored
     }
 
     /// Returns the unconfirmed batch, or a new one if records are queued.
     fn next_batch(&mut self) -> Option<ChargeBatch> {
-        if self.open.is_none() && !self.waiting.is_empty() {
-            let count = self.waiting.len().min(BATCH_RECORDS);
-            self.number += 1;
-            self.open = Some(ChargeBatch {
+        if self.unconfirmed.is_none() && !self.queue.is_empty() {
+            let count = self.queue.len().min(MAX_BATCH_RECORDS);
+            self.last_number += 1;
+            self.unconfirmed = Some(ChargeBatch {
                 sender: self.sender.clone(),
-                number: self.number,
-                records: self.waiting.drain(..count).collect(),
+                number: self.last_number,
+                records: self.queue.drain(..count).collect(),
             });
         }
-        self.open.clone()
+        self.unconfirmed.clone()
     }
 }
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -15,7 +15,7 @@
 
 use crate::charges::ChargeRecord;
 use crate::metrics::Metrics;
-use crate::store::list_keepers;
+use crate::store::keeper_addresses;
 
 /// A message to the control thread.
 #[derive(Debug)]
@@ -79,7 +79,7 @@
 
 /// A request for a snapshot of another VM.
 #[derive(Debug)]
-pub(crate) struct SnapshotOrder {
+pub(crate) struct SnapshotRequest {
     pub address: Arc<str>,
     pub with_programs: bool,
     pub asked_us: u64,
@@ -94,30 +94,30 @@
 
 /// Dispatches the core's outputs to their receivers over bounded queues, without blocking.
 #[derive(Debug)]
-pub(crate) struct Outlets {
-    pub source: mpsc::Sender<SourceRequest>,
-    pub snapshots: mpsc::Sender<SnapshotOrder>,
-    pub probes: mpsc::Sender<ProbeRequest>,
+pub(crate) struct OutputDispatcher {
+    pub source_requests: mpsc::Sender<SourceRequest>,
+    pub snapshot_requests: mpsc::Sender<SnapshotRequest>,
+    pub probe_requests: mpsc::Sender<ProbeRequest>,
     pub charges: mpsc::Sender<ChargeRecord>,
     pub datagrams: UdpSocket,
     pub status: watch::Sender<Status>,
     keepers: watch::Sender<Vec<String>>,
     /// The list from which the published `keepers` were built.
-    known_keepers: Arc<Vec<RecordKeeper>>,
+    published_keepers: Arc<Vec<RecordKeeper>>,
     pub metrics: Arc<Metrics>,
     calls: HashMap<CallId, OpenCall>,
     /// Calls that ended in this tick; later outputs of the tick may still refer to them.
-    ended: Vec<CallId>,
+    ended_calls: Vec<CallId>,
     /// Inputs for the next tick that result from outputs which could not be delivered.
-    echo: Vec<Input>,
+    pending_inputs: Vec<Input>,
 }
 
-/// The receiving ends of the queues of [`Outlets`].
+/// The receiving ends of the queues of [`OutputDispatcher`].
 #[derive(Debug)]
-pub(crate) struct Queues {
-    pub source: mpsc::Receiver<SourceRequest>,
-    pub snapshots: mpsc::Receiver<SnapshotOrder>,
-    pub probes: mpsc::Receiver<ProbeRequest>,
+pub(crate) struct OutputQueues {
+    pub source_requests: mpsc::Receiver<SourceRequest>,
+    pub snapshot_requests: mpsc::Receiver<SnapshotRequest>,
+    pub probe_requests: mpsc::Receiver<ProbeRequest>,
     pub charges: mpsc::Receiver<ChargeRecord>,
     /// Addresses of VMs with a disk, those in this VM's failure domain first.
     pub keepers: watch::Receiver<Vec<String>>,
@@ -125,54 +125,54 @@
 }
 
 /// Capacity of each queue of requests to the store, for snapshots and for probes.
-const ORDERS: usize = 1_024;
+const REQUEST_QUEUE_LEN: usize = 1_024;
 
 /// Capacity of the queue of charge records for the writer.
-const CHARGES: usize = 65_536;
+const CHARGE_QUEUE_LEN: usize = 65_536;
 
 /// # Construction
-impl Outlets {
-    /// Creates the outlets and the receiving ends of their queues.
-    pub fn new(datagrams: UdpSocket, metrics: Arc<Metrics>) -> (Self, Queues) {
-        let (source, source_queue) = mpsc::channel(ORDERS);
-        let (snapshots, snapshot_queue) = mpsc::channel(ORDERS);
-        let (probes, probe_queue) = mpsc::channel(ORDERS);
-        let (charges, charge_queue) = mpsc::channel(CHARGES);
+impl OutputDispatcher {
+    /// Creates the dispatcher and the receiving ends of its queues.
+    pub fn new(datagrams: UdpSocket, metrics: Arc<Metrics>) -> (Self, OutputQueues) {
+        let (source_requests, source_queue) = mpsc::channel(REQUEST_QUEUE_LEN);
+        let (snapshot_requests, snapshot_queue) = mpsc::channel(REQUEST_QUEUE_LEN);
+        let (probe_requests, probe_queue) = mpsc::channel(REQUEST_QUEUE_LEN);
+        let (charges, charge_queue) = mpsc::channel(CHARGE_QUEUE_LEN);
         let (status, status_reader) = watch::channel(Status::default());
         let (keepers, keeper_reader) = watch::channel(Vec::new());
-        let outlets = Self {
-            source,
-            snapshots,
-            probes,
+        let dispatcher = Self {
+            source_requests,
+            snapshot_requests,
+            probe_requests,
             charges,
             datagrams,
             status,
             keepers,
-            known_keepers: Arc::default(),
+            published_keepers: Arc::default(),
             metrics,
             calls: HashMap::new(),
-            ended: Vec::new(),
-            echo: Vec::new(),
+            ended_calls: Vec::new(),
+            pending_inputs: Vec::new(),
         };
-        let queues = Queues {
-            source: source_queue,
-            snapshots: snapshot_queue,
-            probes: probe_queue,
+        let queues = OutputQueues {
+            source_requests: source_queue,
+            snapshot_requests: snapshot_queue,
+            probe_requests: probe_queue,
             charges: charge_queue,
             keepers: keeper_reader,
             status: status_reader,
         };
-        (outlets, queues)
+        (dispatcher, queues)
     }
 }
 
 /// # Calls
-impl Outlets {
+impl OutputDispatcher {
     /// Sends an output to the task of a call.
     ///
     /// A call never has more pending outputs than its channel holds, so a failure means that its
     /// task has ended.
-    fn hand(&mut self, call: CallId, output: CallOutput) {
+    fn send_to_call(&mut self, call: CallId, output: CallOutput) {
         let Some(open) = self.calls.get(&call) else {
             return;
         };
@@ -181,7 +181,7 @@
         };
         self.calls.remove(&call);
         if let CallOutput::Dispatch(dispatch) = error.into_inner() {
-            self.echo.push(Input::Attempt(AttemptEvent {
+            self.pending_inputs.push(Input::Attempt(AttemptEvent {
                 attempt: dispatch.attempt,
                 progress: AttemptProgress::Failed(Failure::NotSent),
             }));
@@ -189,22 +189,22 @@
     }
 
     /// Sends the last output to the task of a call and marks the call as ended.
-    fn close(&mut self, call: CallId, output: CallOutput) {
-        self.hand(call, output);
-        self.ended.push(call);
+    fn close_call(&mut self, call: CallId, output: CallOutput) {
+        self.send_to_call(call, output);
+        self.ended_calls.push(call);
     }
 
     /// Returns the caller's ID of the request of an open call, or `-` if the call is not open.
-    fn request_of(&self, call: CallId) -> &str {
+    fn request_id(&self, call: CallId) -> &str {
         self.calls.get(&call).map_or("-", |open| &open.request)
     }
 }
 
 /// # Outputs
-impl Outlets {
+impl OutputDispatcher {
     /// Logs a charge and queues its record for the writer.
-    fn charge(&mut self, charge: Charge) {
-        let request = self.request_of(charge.attempt.call);
+    fn record_charge(&mut self, charge: Charge) {
+        let request = self.request_id(charge.attempt.call);
         let record = ChargeRecord::new(request, &charge);
         self.metrics.count_charge(&record);
         tracing::info!(
@@ -223,7 +223,7 @@
     }
 
     /// Sends a summary. A failure is not retried, since the next summary follows.
-    fn summary(&self, address: &str, summary: &knapweeddale_core::Summary) {
+    fn send_summary(&self, address: &str, summary: &knapweeddale_core::Summary) {
         let bytes = match postcard::to_stdvec(summary) {
             Ok(bytes) => bytes,
             Err(error) => {
@@ -241,15 +241,15 @@
     }
 
     /// Logs a decision with the revision and the ages of the data that it is based on.
-    fn log(&self, decision: &Decision, control: &Control, now_us: u64) {
+    fn log_decision(&self, decision: &Decision, control: &Control, now_us: u64) {
         self.metrics.count_decision(decision);
         let tables = control.tables();
         let revision = tables.fleet.revision.0;
         let config_age_ms = age_ms(tables.source.config.age_us(now_us));
         let list_age_ms = age_ms(tables.source.list.age_us(now_us));
-        match call_of(decision) {
+        match decision_call(decision) {
             Some(call) => tracing::info!(
-                request = self.request_of(call),
+                request = self.request_id(call),
                 call = %call,
                 revision,
                 config_age_ms,
@@ -269,7 +269,7 @@
 }
 
 /// Returns the call that a decision is about.
-fn call_of(decision: &Decision) -> Option<CallId> {
+fn decision_call(decision: &Decision) -> Option<CallId> {
     match decision {
         Decision::Refused { call, .. }
         | Decision::Admitted { call, .. }
@@ -283,7 +283,7 @@
     }
 }
 
-impl knapweeddale_runtime::OutputHandler for Outlets {
+impl knapweeddale_runtime::OutputHandler for OutputDispatcher {
     type Message = Message;
 
     fn accept_message(
@@ -321,35 +321,35 @@
     fn handle_output(&mut self, output: Output, control: &Control, now_us: u64) {
         match output {
             Output::Dispatch(dispatch) => {
-                self.hand(dispatch.attempt.call, CallOutput::Dispatch(dispatch));
+                self.send_to_call(dispatch.attempt.call, CallOutput::Dispatch(dispatch));
             }
-            Output::Answered(answered) => self.close(answered.call, CallOutput::Answered),
-            Output::Refused(refusal) => self.close(refusal.call, CallOutput::Refused(refusal)),
+            Output::Answered(answered) => self.close_call(answered.call, CallOutput::Answered),
+            Output::Refused(refusal) => self.close_call(refusal.call, CallOutput::Refused(refusal)),
             Output::Source(request) => {
-                if self.source.try_send(request).is_err() {
+                if self.source_requests.try_send(request).is_err() {
                     tracing::error!("source: request dropped, the queue is full");
                 }
             }
-            Output::SendSummary { address, summary } => self.summary(&address, &summary),
+            Output::SendSummary { address, summary } => self.send_summary(&address, &summary),
             Output::AskSnapshot {
                 address,
                 with_programs,
             } => {
-                let order = SnapshotOrder {
+                let request = SnapshotRequest {
                     address,
                     with_programs,
                     asked_us: now_us,
                 };
-                if self.snapshots.try_send(order).is_err() {
+                if self.snapshot_requests.try_send(request).is_err() {
                     tracing::error!("peers: snapshot request dropped, the queue is full");
                 }
             }
             Output::Probe(upstream) => {
-                self.echo
-                    .extend(request_probe(&self.probes, upstream, control));
+                self.pending_inputs
+                    .extend(request_probe(&self.probe_requests, upstream, control));
             }
-            Output::Charge(charge) => self.charge(charge),
-            Output::Decision(decision) => self.log(&decision, control, now_us),
+            Output::Charge(charge) => self.record_charge(charge),
+            Output::Decision(decision) => self.log_decision(&decision, control, now_us),
             // Emitted only under `Coordination::Owners`, or for calls that have a home.
             Output::CancelAttempt(_)
             | Output::Replay { .. }
@@ -363,14 +363,15 @@
     }
 
     fn publish_status(&mut self, control: &Control, now_us: u64) {
-        for call in self.ended.drain(..) {
+        for call in self.ended_calls.drain(..) {
             self.calls.remove(&call);
         }
         let keepers = &control.tables().source.keepers;
-        if !Arc::ptr_eq(keepers, &self.known_keepers) {
-            self.known_keepers = Arc::clone(keepers);
+        if !Arc::ptr_eq(keepers, &self.published_keepers) {
+            self.published_keepers = Arc::clone(keepers);
             let nearest = &control.settings().failure_domain;
-            self.keepers.send_replace(list_keepers(keepers, nearest));
+            self.keepers
+                .send_replace(keeper_addresses(keepers, nearest));
         }
         let fleet = &control.tables().fleet;
         let has_fleet = fleet.revision.0 > 0;
@@ -396,15 +397,15 @@
             *known = status;
             is_changed
         });
-        self.metrics.set_ages(control, now_us);
+        self.metrics.update_gauges(control, now_us);
     }
 
     fn has_pending_inputs(&self) -> bool {
-        !self.echo.is_empty()
+        !self.pending_inputs.is_empty()
     }
 
     fn take_pending_inputs(&mut self) -> Vec<Input> {
-        std::mem::take(&mut self.echo)
+        std::mem::take(&mut self.pending_inputs)
     }
 
     fn count_tick(&self, inputs: usize, took: Duration) {
--- a/crates/relay/src/daemon.rs
+++ b/crates/relay/src/daemon.rs
@@ -17,22 +17,22 @@
 
 use crate::adapter::{Dialect, FleetStore};
 use crate::charges::ChargeWriter;
-use crate::control::{Message, Outlets, Queues};
+use crate::control::{Message, OutputDispatcher, OutputQueues};
 use crate::front::{ConnectionTracker, ListenerKind, SharedState, serve};
 use crate::metrics::Metrics;
-use crate::peers::{SnapshotServer, StateRpcServer, fetch, receive};
+use crate::peers::{SnapshotServer, StateRpcServer, fetch_snapshots, receive_summaries};
 use crate::settings::RelaySettings;
-use crate::store::{KnownRecords, Registration, Role, Source};
+use crate::store::{RecordCache, Registration, Role, SourceClient};
 use crate::upstream::{Pool, run_probes};
 
 /// Interval at which idle connections to upstreams are checked for expiry.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Interval at which a stopping daemon checks whether its connections have closed.
-const STOP_INTERVAL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Part of the grace period that is reserved for shutdown after connections have been drained.
-const STOP_MARGIN: Duration = Duration::from_millis(700);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 /// Error when a daemon cannot start.
 #[derive(Debug, Display, Error, From)]
@@ -41,7 +41,7 @@
     #[display(
         "a listener, thread or folder cannot be opened ({source}); check addresses and limits"
     )]
-    System {
+    Io {
         /// The underlying I/O error.
         source: std::io::Error,
     },
@@ -61,10 +61,10 @@
     ready_address: SocketAddr,
     control: JoinHandle<()>,
     charges: tokio::task::JoinHandle<()>,
-    _peers: ServerHandle,
+    _peer_server: ServerHandle,
     /// Tasks that are aborted when the daemon stops.
     background: JoinSet<()>,
-    doors: ConnectionTracker,
+    tracker: ConnectionTracker,
     /// Tells connections to close after their current response.
     closing: watch::Sender<bool>,
     grace: Duration,
@@ -88,26 +88,26 @@
         let front = TcpListener::bind(settings.listen).await?;
         let ready = TcpListener::bind(settings.ready_listen).await?;
         let (address, ready_address) = (front.local_addr()?, ready.local_addr()?);
-        let (datagrams, receiver) = datagram_sockets(settings.peer_listen)?;
+        let (datagrams, receiver) = bind_datagram_sockets(settings.peer_listen)?;
         let mut core = settings.core.clone();
         core.address = receiver.local_addr()?.to_string();
         let (inputs, queue) = input_queue(settings.input_queue_len);
-        let peers = Server::builder().build(receiver.local_addr()?).await?;
-        let snapshots = SnapshotServer {
+        let peer_server = Server::builder().build(receiver.local_addr()?).await?;
+        let snapshot_server = SnapshotServer {
             inputs: inputs.clone(),
         };
-        let peers = peers.start(snapshots.into_rpc());
+        let peer_server = peer_server.start(snapshot_server.into_rpc());
         let registration = Registration {
             vm: core.vm.to_string(),
             address: core.address.clone(),
             role: Role::Entry,
             failure_domain: core.failure_domain.to_string(),
         };
-        let (outlets, queues) = Outlets::new(datagrams, Arc::clone(&metrics));
-        let Queues {
-            source,
-            snapshots,
-            probes,
+        let (dispatcher, queues) = OutputDispatcher::new(datagrams, Arc::clone(&metrics));
+        let OutputQueues {
+            source_requests,
+            snapshot_requests,
+            probe_requests,
             charges,
             keepers,
             status,
@@ -124,37 +124,37 @@
             max_body_bytes: settings.max_body_bytes,
         });
         let (closing, is_closing) = watch::channel(false);
-        let doors = ConnectionTracker {
+        let tracker = ConnectionTracker {
             open_connections: Arc::new(AtomicUsize::new(0)),
             closing: is_closing,
         };
         let sender = format!("{}@{}", core.vm, core.incarnation);
         let (vm, has_seeds) = (core.vm.clone(), !core.seeds.is_empty());
         let writer = ChargeWriter::new(sender, charges, keepers, Arc::clone(&metrics));
-        let control = spawn_control_loop(Control::new(core), queue, outlets, clock.clone())?;
-        let runner = Source {
+        let control = spawn_control_loop(Control::new(core), queue, dispatcher, clock.clone())?;
+        let source = SourceClient {
             store: Arc::new(store),
             clock,
             inputs: inputs.clone(),
             metrics: Arc::clone(&metrics),
             registration,
             has_seeds,
-            records: KnownRecords::default(),
+            budget_records: RecordCache::default(),
         };
         let mut background = JoinSet::new();
-        background.spawn(runner.run(source));
-        background.spawn(fetch(snapshots, inputs.clone()));
+        background.spawn(source.run(source_requests));
+        background.spawn(fetch_snapshots(snapshot_requests, inputs.clone()));
         let pool = Arc::clone(&shared.pool);
         background.spawn(run_probes(
-            probes,
+            probe_requests,
             pool,
             inputs.clone(),
             Arc::clone(&metrics),
         ));
-        background.spawn(receive(receiver, inputs, metrics));
-        background.spawn(expire(Arc::clone(&shared.pool)));
-        let mut serve = |listener, door| {
-            background.spawn(serve(listener, door, Arc::clone(&shared), doors.clone()));
+        background.spawn(receive_summaries(receiver, inputs, metrics));
+        background.spawn(expire_idle_connections(Arc::clone(&shared.pool)));
+        let mut serve = |listener, kind| {
+            background.spawn(serve(listener, kind, Arc::clone(&shared), tracker.clone()));
         };
         serve(front, ListenerKind::Calls);
         serve(ready, ListenerKind::Readiness);
@@ -171,9 +171,9 @@
             ready_address,
             control,
             charges: tokio::spawn(writer.run()),
-            _peers: peers,
+            _peer_server: peer_server,
             background,
-            doors,
+            tracker,
             closing,
             grace: settings.grace,
             drain_notice: settings.drain_notice,
@@ -183,7 +183,7 @@
 
 /// Binds the UDP socket for summaries; returns a handle for the control thread, which sends, and
 /// one for the task that receives.
-fn datagram_sockets(
+fn bind_datagram_sockets(
     address: SocketAddr,
 ) -> std::io::Result<(std::net::UdpSocket, tokio::net::UdpSocket)> {
     let socket = std::net::UdpSocket::bind(address)?;
@@ -193,7 +193,7 @@
 }
 
 /// Periodically closes connections to upstreams whose idle timeout has passed.
-async fn expire(pool: Arc<Pool>) {
+async fn expire_idle_connections(pool: Arc<Pool>) {
     let mut ticks = interval(EXPIRE_INTERVAL);
     loop {
         ticks.tick().await;
@@ -228,17 +228,20 @@
     /// New calls are served until the load balancer has noticed that this VM is not ready. After
     /// that, each connection closes with its next response.
     pub async fn stop(mut self) {
-        let deadline = Instant::now() + self.grace.saturating_sub(STOP_MARGIN);
-        tracing::info!(connections = self.open(), "stop: draining connections");
+        let deadline = Instant::now() + self.grace.saturating_sub(SHUTDOWN_MARGIN);
+        tracing::info!(
+            connections = self.open_connections(),
+            "stop: draining connections"
+        );
         self.shared.is_draining.store(true, Ordering::Relaxed);
         self.shared.inputs.send_input(Input::Drain).await;
         sleep(self.drain_notice).await;
         self.closing.send_replace(true);
         tokio::select! {
-            () = self.wait_idle() => {}
+            () = self.wait_for_connections() => {}
             () = sleep_until(deadline) => {}
         }
-        tracing::info!(connections = self.open(), "stop: shutting down");
+        tracing::info!(connections = self.open_connections(), "stop: shutting down");
         self.shared.inputs.send_input(Input::Halt).await;
         // Fails only if the control thread has already ended.
         let _ = self.shared.inputs.send(Message::Stop).await;
@@ -252,14 +255,14 @@
     }
 
     /// Waits until no connection is open.
-    async fn wait_idle(&self) {
-        while self.open() > 0 {
-            sleep(STOP_INTERVAL).await;
+    async fn wait_for_connections(&self) {
+        while self.open_connections() > 0 {
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
     /// Returns the number of open connections.
-    fn open(&self) -> usize {
-        self.doors.open_connections.load(Ordering::Relaxed)
+    fn open_connections(&self) -> usize {
+        self.tracker.open_connections.load(Ordering::Relaxed)
     }
 }
--- a/crates/relay/src/explain.rs
+++ b/crates/relay/src/explain.rs
@@ -60,25 +60,25 @@
 ///
 /// Lines that name only a call or an attempt of the request are included.
 pub fn explain_logs<'a>(request: &str, logs: impl IntoIterator<Item = &'a str>) -> Explanation {
-    let all: Vec<Line> = logs
+    let all_lines: Vec<Line> = logs
         .into_iter()
-        .flat_map(|log| log.lines().filter_map(parse))
+        .flat_map(|log| log.lines().filter_map(parse_line))
         .collect();
-    let named = all
+    let named = all_lines
         .iter()
         .filter(|line| line.request.as_deref() == Some(request));
     let calls: BTreeSet<&str> = named.filter_map(|line| line.call.as_deref()).collect();
     let is_about = |line: &&Line| {
         let attempt = line.attempt.as_deref();
-        let of_attempt = attempt.and_then(|attempt| attempt.rsplit_once('.'));
+        let attempt_parts = attempt.and_then(|attempt| attempt.rsplit_once('.'));
         line.request.as_deref() == Some(request)
             || line
                 .call
                 .as_deref()
                 .is_some_and(|call| calls.contains(call))
-            || of_attempt.is_some_and(|(call, _)| calls.contains(call))
+            || attempt_parts.is_some_and(|(call, _)| calls.contains(call))
     };
-    let mut lines: Vec<&Line> = all.iter().filter(is_about).collect();
+    let mut lines: Vec<&Line> = all_lines.iter().filter(is_about).collect();
     lines.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
     let messages: Vec<&str> = lines
         .iter()
@@ -91,7 +91,7 @@
 }
 
 /// Parses the JSON object of a line, skipping text before it such as a time or the VM's name.
-fn parse(text: &str) -> Option<Line> {
+fn parse_line(text: &str) -> Option<Line> {
     let json = &text[text.find('{')?..];
     let mut line: Line = serde_json::from_str(json).ok()?;
     line.text = json.to_owned();
@@ -111,7 +111,7 @@
         return format!("No log names request {request}: it reached none of these VMs.");
     }
     let attempts = count("placement: attempt");
-    let fate = if last("call: answered").is_some() {
+    let outcome = if last("call: answered").is_some() {
         "was answered by its upstream".to_owned()
     } else if let Some(refused) = last("admission: refused") {
         let (_, reason) = refused.split_once(" as ").unwrap_or(("", refused));
@@ -123,7 +123,7 @@
     let cause = causes.iter().find_map(|cause| last(cause));
     let cause = cause.map(|cause| format!(" Last cause: {cause}."));
     format!(
-        "Request {request} {fate} after {attempts} attempts.{}",
+        "Request {request} {outcome} after {attempts} attempts.{}",
         cause.unwrap_or_default()
     )
 }
--- a/crates/relay/src/logs/mod.rs
+++ b/crates/relay/src/logs/mod.rs
@@ -27,7 +27,7 @@
     },
     /// Logging is already initialized in this process.
     #[display("logging is already initialized ({source}); initialize it once")]
-    Twice {
+    AlreadyInitialized {
         /// The error of the tracing library.
         source: SetGlobalDefaultError,
     },
@@ -35,7 +35,7 @@
 
 /// Initializes logging to standard output.
 ///
-/// Call [`LineWriter::finish`] before the process ends, or the last lines are lost.
+/// Call [`LineWriter::flush`] before the process ends, or the last lines are lost.
 ///
 /// # Errors
 ///
@@ -57,6 +57,6 @@
         .with_env_filter(parsed)
         .with_writer(writer.clone())
         .finish();
-    set_global_default(subscriber).map_err(|source| LogError::Twice { source })?;
+    set_global_default(subscriber).map_err(|source| LogError::AlreadyInitialized { source })?;
     Ok(writer)
 }
--- a/crates/relay/src/logs/writer.rs
+++ b/crates/relay/src/logs/writer.rs
@@ -10,7 +10,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 /// Capacity of the queue of lines.
-const WAITING_LINES: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// Rate limit at level `info` and below, in lines per second.
 const LINES_PER_S: f64 = 600.0;
@@ -22,7 +22,7 @@
 const WRITE_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Time limit for writing the last lines at the end of the process.
-const FINISH_LIMIT: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Minimum interval between two reports of dropped lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone)]
 pub struct LineWriter {
     lines: SyncSender<Entry>,
-    allowance: Arc<Mutex<Allowance>>,
+    rate_limit: Arc<Mutex<TokenBucket>>,
 }
 
 /// An entry in the queue of the log thread.
@@ -50,19 +50,19 @@
     /// A formatted line.
     Line(Vec<u8>),
     /// A request to signal that all lines before it have been written.
-    Mark(SyncSender<()>),
+    Flush(SyncSender<()>),
 }
 
 /// A token bucket that limits the rate of lines.
 #[derive(Debug)]
-struct Allowance {
+struct TokenBucket {
     lines: f64,
     updated: Instant,
 }
 
-impl Allowance {
+impl TokenBucket {
     /// Takes the token of one line; returns `false` if there is none.
-    fn take(&mut self) -> bool {
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
         let elapsed_s = now.duration_since(self.updated).as_secs_f64();
         self.lines = (self.lines + elapsed_s * LINES_PER_S).min(LINES_BURST);
@@ -82,13 +82,13 @@
     ///
     /// Fails if the thread cannot be started.
     pub fn start<W: Write + Send + 'static>(output: W) -> io::Result<Self> {
-        let (lines, queue) = sync_channel(WAITING_LINES);
+        let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&queue, output))?;
         Ok(Self {
             lines,
-            allowance: Arc::new(Mutex::new(Allowance {
+            rate_limit: Arc::new(Mutex::new(TokenBucket {
                 lines: LINES_BURST,
                 updated: Instant::now(),
             })),
@@ -98,11 +98,11 @@
 
 impl LineWriter {
     /// Waits until all queued lines have been written, within a short time limit.
-    pub fn finish(&self) {
+    pub fn flush(&self) {
         let (done, is_done) = sync_channel(1);
-        if self.lines.try_send(Entry::Mark(done)).is_ok() {
+        if self.lines.try_send(Entry::Flush(done)).is_ok() {
             // An output that blocks must not keep the process from ending.
-            let _ = is_done.recv_timeout(FINISH_LIMIT);
+            let _ = is_done.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
@@ -111,12 +111,12 @@
 fn write_lines<W: Write>(queue: &Receiver<Entry>, mut output: W) {
     let mut reported = (Instant::now(), 0);
     let mut text = Vec::new();
-    let mut marks = Vec::new();
+    let mut signals = Vec::new();
     while let Ok(entry) = queue.recv() {
-        take(entry, &mut text, &mut marks);
+        add_entry(entry, &mut text, &mut signals);
         std::thread::sleep(WRITE_INTERVAL);
         while let Ok(entry) = queue.try_recv() {
-            take(entry, &mut text, &mut marks);
+            add_entry(entry, &mut text, &mut signals);
         }
         let dropped = dropped_lines();
         if dropped > reported.1 && reported.0.elapsed() >= REPORT_INTERVAL {
@@ -130,17 +130,17 @@
         // A failure to write the log cannot be reported anywhere.
         let _ = output.write_all(&text).and_then(|()| output.flush());
         text.clear();
-        for mark in marks.drain(..) {
-            let _ = mark.try_send(());
+        for signal in signals.drain(..) {
+            let _ = signal.try_send(());
         }
     }
 }
 
 /// Adds an entry to the next write.
-fn take(entry: Entry, text: &mut Vec<u8>, marks: &mut Vec<SyncSender<()>>) {
+fn add_entry(entry: Entry, text: &mut Vec<u8>, signals: &mut Vec<SyncSender<()>>) {
     match entry {
         Entry::Line(line) => text.extend_from_slice(&line),
-        Entry::Mark(mark) => marks.push(mark),
+        Entry::Flush(signal) => signals.push(signal),
     }
 }
 
@@ -189,11 +189,11 @@
     fn make_writer_for(&'a self, meta: &Metadata<'_>) -> Line<'a> {
         let mut line = self.make_writer();
         if *meta.level() >= Level::INFO {
-            let mut allowance = self
-                .allowance
+            let mut bucket = self
+                .rate_limit
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            line.is_allowed = allowance.take();
+            line.is_allowed = bucket.try_take();
         }
         line
     }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -12,7 +12,7 @@
 use crate::charges::ChargeRecord;
 
 /// Upper bounds of the histogram buckets for durations, in seconds.
-const SECONDS: [f64; 14] = [
+const DURATION_BUCKETS_S: [f64; 14] = [
     0.000_1, 0.000_3, 0.001, 0.003, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
@@ -39,7 +39,7 @@
     open_calls: IntGauge,
     age_ms: IntGaugeVec,
     revision: IntGauge,
-    shared: IntGaugeVec,
+    sharing_vms: IntGaugeVec,
     dropped_lines: IntGauge,
 }
 
@@ -63,11 +63,11 @@
             register(&registry, gauges)
         };
         let times = |name: &str, help: &str, label: &str| {
-            let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(DURATION_BUCKETS_S.to_vec());
             register(&registry, HistogramVec::new(options, &[label]))
         };
         let tick_options = HistogramOpts::new("kwd_tick_seconds", "Time of one control tick.");
-        let tick_s = Histogram::with_opts(tick_options.buckets(SECONDS.to_vec()));
+        let tick_s = Histogram::with_opts(tick_options.buckets(DURATION_BUCKETS_S.to_vec()));
         Ok(Self {
             requests: counter("kwd_requests_total", "Requests received.")?,
             refusals: counters("kwd_refusals_total", "Refusals by kind.", "kind")?,
@@ -108,7 +108,7 @@
             open_calls: gauge("kwd_open_calls", "Calls that are not answered yet.")?,
             age_ms: gauges("kwd_age_milliseconds", "Age of what was read last.", "what")?,
             revision: gauge("kwd_revision", "Revision of the configuration in force.")?,
-            shared: gauges("kwd_vms", "VMs that share the rates of accounts.", "kind")?,
+            sharing_vms: gauges("kwd_vms", "VMs that share the rates of accounts.", "kind")?,
             dropped_lines: gauge("kwd_dropped_log_lines", "Log lines left out.")?,
             registry,
         })
@@ -172,7 +172,7 @@
     }
 
     /// Records the duration of a stage.
-    pub(crate) fn note(&self, stage: Stage, took: Duration) {
+    pub(crate) fn observe_stage(&self, stage: Stage, took: Duration) {
         let times = self.stage_s.with_label_values(&[stage.label()]);
         times.observe(took.as_secs_f64());
     }
@@ -224,7 +224,7 @@
     }
 
     /// Updates the gauges for the ages of data, the revision and the VMs that share the rates.
-    pub(crate) fn set_ages(&self, control: &Control, now_us: u64) {
+    pub(crate) fn update_gauges(&self, control: &Control, now_us: u64) {
         let tables = control.tables();
         let readings = [
             ("config", tables.source.config.age_us(now_us)),
@@ -236,10 +236,10 @@
         }
         self.revision.set(gauge_value(tables.fleet.revision.0));
         let (heard, known) = tables.peering.usable_fraction();
-        self.shared
+        self.sharing_vms
             .with_label_values(&["heard"])
             .set(gauge_value(heard));
-        self.shared
+        self.sharing_vms
             .with_label_values(&["known"])
             .set(gauge_value(known));
     }
@@ -256,7 +256,7 @@
     }
 
     /// Counts a received summary.
-    pub(crate) fn count_received(&self, is_readable: bool) {
+    pub(crate) fn count_received_summary(&self, is_readable: bool) {
         let kind = if is_readable {
             "received"
         } else {
@@ -266,7 +266,7 @@
     }
 
     /// Counts a request to the store and records its duration.
-    pub(crate) fn count_store(&self, purpose: &str, is_answered: bool, took: Duration) {
+    pub(crate) fn observe_store_request(&self, purpose: &str, is_answered: bool, took: Duration) {
         self.store_calls.with_label_values(&[purpose]).inc();
         let outcome = if is_answered { "answered" } else { "failed" };
         let times = self.store_s.with_label_values(&[outcome]);
--- a/crates/relay/src/peers/datagrams.rs
+++ b/crates/relay/src/peers/datagrams.rs
@@ -12,7 +12,11 @@
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 /// Receives summaries and queues them as inputs until the task is aborted.
-pub(crate) async fn receive(socket: UdpSocket, inputs: InputSender, metrics: Arc<Metrics>) {
+pub(crate) async fn receive_summaries(
+    socket: UdpSocket,
+    inputs: InputSender,
+    metrics: Arc<Metrics>,
+) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let received = match socket.recv_from(&mut buffer).await {
@@ -25,7 +29,7 @@
             }
         };
         let summary = postcard::from_bytes::<Summary>(&buffer[..received]);
-        metrics.count_received(summary.is_ok());
+        metrics.count_received_summary(summary.is_ok());
         match summary {
             Ok(summary) => {
                 let news = PeerNews::Summary(Box::new(summary));
--- a/crates/relay/src/peers/mod.rs
+++ b/crates/relay/src/peers/mod.rs
@@ -3,5 +3,5 @@
 mod datagrams;
 mod snapshots;
 
-pub(crate) use datagrams::receive;
-pub(crate) use snapshots::{SnapshotServer, StateRpcServer, fetch};
+pub(crate) use datagrams::receive_summaries;
+pub(crate) use snapshots::{SnapshotServer, StateRpcServer, fetch_snapshots};
--- a/crates/relay/src/peers/snapshots.rs
+++ b/crates/relay/src/peers/snapshots.rs
@@ -9,13 +9,13 @@
 use knapweeddale_core::{Input, PeerNews, Snapshot};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::control::{InputSender, Message, SnapshotOrder};
+use crate::control::{InputSender, Message, SnapshotRequest};
 
 /// Time limit for fetching a snapshot.
-const TIMEOUT: Duration = Duration::from_millis(350);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Maximum size of a snapshot; the configuration in it has a megabyte at most.
-const MAX_BYTES: u32 = 16 * 1024 * 1024;
+const MAX_SNAPSHOT_BYTES: u32 = 16 * 1024 * 1024;
 
 /// JSON-RPC error code for a snapshot that cannot be taken now; the request may be retried.
 const BUSY_CODE: i32 = -32_000;
@@ -52,15 +52,18 @@
 }
 
 /// Fetches requested snapshots of other VMs, one at a time, and queues them as inputs.
-pub(crate) async fn fetch(mut orders: mpsc::Receiver<SnapshotOrder>, inputs: InputSender) {
-    while let Some(order) = orders.recv().await {
-        let news = match ask(&order).await {
+pub(crate) async fn fetch_snapshots(
+    mut requests: mpsc::Receiver<SnapshotRequest>,
+    inputs: InputSender,
+) {
+    while let Some(request) = requests.recv().await {
+        let news = match fetch_snapshot(&request).await {
             Ok(snapshot) => PeerNews::Snapshot {
-                asked_us: order.asked_us,
+                asked_us: request.asked_us,
                 snapshot: Box::new(snapshot),
             },
             Err(error) => {
-                let address = &order.address;
+                let address = &request.address;
                 tracing::warn!(%address, "peers: snapshot cannot be fetched ({error})");
                 PeerNews::NoSnapshot
             }
@@ -70,10 +73,12 @@
 }
 
 /// Fetches the snapshot of one VM.
-async fn ask(order: &SnapshotOrder) -> Result<Snapshot, jsonrpsee::core::ClientError> {
+async fn fetch_snapshot(
+    request: &SnapshotRequest,
+) -> Result<Snapshot, jsonrpsee::core::ClientError> {
     let client = HttpClient::builder()
-        .request_timeout(TIMEOUT)
-        .max_response_size(MAX_BYTES)
-        .build(format!("http://{}", order.address))?;
-    client.snapshot(order.with_programs).await
+        .request_timeout(SNAPSHOT_TIMEOUT)
+        .max_response_size(MAX_SNAPSHOT_BYTES)
+        .build(format!("http://{}", request.address))?;
+    client.snapshot(request.with_programs).await
 }
--- a/crates/relay/src/storage.rs
+++ b/crates/relay/src/storage.rs
@@ -16,10 +16,10 @@
 use tokio::time::{sleep, timeout};
 
 use crate::adapter::FleetStore;
-use crate::charges::{ChargeBatch, ChargeRecord, ChargeRpcServer, keep};
+use crate::charges::{ChargeBatch, ChargeRecord, ChargeRpcServer, send_batch};
 use crate::daemon::StartError;
 use crate::settings::StorageSettings;
-use crate::store::{Registration, Role, list_keepers, register};
+use crate::store::{Registration, Role, keeper_addresses, register};
 
 /// Name of the file of charge records, which has one JSON object per line.
 const FILE_NAME: &str = "charges.jsonl";
@@ -31,10 +31,10 @@
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Delay before a failed registration is repeated.
-const RETRY_PAUSE: Duration = Duration::from_millis(700);
+const RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
 /// JSON-RPC error code for a batch that could not be written; the sender may retry.
-const FAILED_CODE: i32 = -32_001;
+const WRITE_FAILED_CODE: i32 = -32_001;
 
 /// The append-only file of charge records.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     file: File,
     path: PathBuf,
     /// Number of the last batch stored, by sender.
-    kept: HashMap<String, u64>,
+    last_batches: HashMap<String, u64>,
 }
 
 impl Ledger {
@@ -53,7 +53,7 @@
         let mut file = OpenOptions::new().create(true).append(true).open(&path)?;
         // Without the line break, the next record would continue a line torn by a power loss and
         // be lost with it.
-        if ends_torn(&path)? {
+        if ends_mid_line(&path)? {
             tracing::warn!("charges: the last record is torn");
             file.write_all(b"\n")?;
         }
@@ -63,13 +63,17 @@
         Ok(Self {
             file,
             path,
-            kept: HashMap::new(),
+            last_batches: HashMap::new(),
         })
     }
 
     /// Appends a batch and syncs the file, unless the batch has been stored before.
-    fn keep(&mut self, batch: &ChargeBatch) -> io::Result<()> {
-        let last = self.kept.get(&batch.sender).copied().unwrap_or_default();
+    fn append(&mut self, batch: &ChargeBatch) -> io::Result<()> {
+        let last = self
+            .last_batches
+            .get(&batch.sender)
+            .copied()
+            .unwrap_or_default();
         if batch.number <= last {
             return Ok(());
         }
@@ -80,12 +84,12 @@
         }
         self.file.write_all(&lines)?;
         self.file.sync_data()?;
-        self.kept.insert(batch.sender.clone(), batch.number);
+        self.last_batches.insert(batch.sender.clone(), batch.number);
         Ok(())
     }
 
     /// Reads all records, skipping lines torn by a power loss.
-    fn read(&self) -> io::Result<Vec<ChargeRecord>> {
+    fn read_records(&self) -> io::Result<Vec<ChargeRecord>> {
         let text = std::fs::read(&self.path)?;
         let lines = text.split(|byte| *byte == b'\n');
         let mut records = Vec::new();
@@ -100,7 +104,7 @@
 }
 
 /// Returns whether the last line of a file is incomplete.
-fn ends_torn(path: &Path) -> io::Result<bool> {
+fn ends_mid_line(path: &Path) -> io::Result<bool> {
     let mut file = File::open(path)?;
     if file.seek(SeekFrom::End(0))? == 0 {
         return Ok(false);
@@ -113,24 +117,24 @@
 
 /// The RPC server to which other VMs send charge records.
 #[derive(Debug, Clone)]
-struct Keeper {
+struct ChargeServer {
     ledger: Arc<Mutex<Ledger>>,
 }
 
 #[jsonrpsee::core::async_trait]
-impl ChargeRpcServer for Keeper {
-    async fn keep(&self, batch: ChargeBatch) -> RpcResult<()> {
+impl ChargeRpcServer for ChargeServer {
+    async fn store_batch(&self, batch: ChargeBatch) -> RpcResult<()> {
         let ledger = Arc::clone(&self.ledger);
-        let kept = spawn_blocking(move || {
+        let task = spawn_blocking(move || {
             let mut ledger = ledger.lock().unwrap_or_else(PoisonError::into_inner);
-            ledger.keep(&batch)
+            ledger.append(&batch)
         });
-        let kept = kept
+        let result = task
             .await
             .unwrap_or_else(|error| Err(io::Error::other(error)));
-        kept.map_err(|error| {
+        result.map_err(|error| {
             tracing::error!("charges: batch not kept ({error})");
-            ErrorObjectOwned::owned(FAILED_CODE, error.to_string(), None::<()>)
+            ErrorObjectOwned::owned(WRITE_FAILED_CODE, error.to_string(), None::<()>)
         })
     }
 }
@@ -156,10 +160,10 @@
         let ledger = Arc::new(Mutex::new(Ledger::open(&settings.data_folder)?));
         let server = Server::builder().build(settings.peer_listen).await?;
         let address = server.local_addr()?;
-        let keeper = Keeper {
+        let charge_server = ChargeServer {
             ledger: Arc::clone(&ledger),
         };
-        let server = server.start(keeper.into_rpc());
+        let server = server.start(charge_server.into_rpc());
         let registration = Registration {
             vm: settings.vm.clone(),
             address: address.to_string(),
@@ -167,7 +171,7 @@
             failure_domain: failure_domain.to_owned(),
         };
         tracing::info!(vm = settings.vm, %address, "start: stores charge records");
-        let duties = Duties {
+        let background = BackgroundTask {
             settings,
             store,
             registration,
@@ -175,7 +179,7 @@
         };
         Ok(Self {
             server,
-            background: tokio::spawn(duties.run()),
+            background: tokio::spawn(background.run()),
         })
     }
 
@@ -191,30 +195,30 @@
 }
 
 /// The background task, which registers this VM and handles its retirement.
-struct Duties<S> {
+struct BackgroundTask<S> {
     settings: StorageSettings,
     store: S,
     registration: Registration,
     ledger: Arc<Mutex<Ledger>>,
 }
 
-impl<S: FleetStore> Duties<S> {
+impl<S: FleetStore> BackgroundTask<S> {
     /// Registers this VM, then polls the store for a request to retire it.
     async fn run(self) {
-        let mut is_lost = false;
+        let mut has_failed = false;
         while let Err(error) = self.register().await {
-            if !std::mem::replace(&mut is_lost, true) {
+            if !std::mem::replace(&mut has_failed, true) {
                 tracing::warn!("source: registration failed, retrying ({error})");
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
         loop {
-            match self.review().await {
-                Ok(()) if std::mem::take(&mut is_lost) => {
+            match self.handle_retirement().await {
+                Ok(()) if std::mem::take(&mut has_failed) => {
                     tracing::info!("source: the store answers again");
                 }
                 Ok(()) => {}
-                Err(error) if !std::mem::replace(&mut is_lost, true) => {
+                Err(error) if !std::mem::replace(&mut has_failed, true) => {
                     tracing::warn!("source: the store does not answer ({error})");
                 }
                 Err(_) => {}
@@ -225,30 +229,30 @@
 
     /// Registers this VM and returns all registered ones.
     async fn register(&self) -> Result<Vec<Registration>, StoreError> {
-        within(register(&self.store, &self.registration, true)).await
+        with_timeout(register(&self.store, &self.registration, true)).await
     }
 
     /// Hands all records over and reports it, if the operator has requested this VM's retirement.
-    async fn review(&self) -> Result<(), StoreError> {
-        let me = VmName::from(self.settings.vm.as_str());
-        let retirements = within(self.store.list_retirements()).await?;
-        let mine = retirements.iter().find(|row| row.vm == me);
-        if mine.is_none_or(|row| row.is_done) {
+    async fn handle_retirement(&self) -> Result<(), StoreError> {
+        let own_name = VmName::from(self.settings.vm.as_str());
+        let retirements = with_timeout(self.store.list_retirements()).await?;
+        let retirement = retirements.iter().find(|row| row.vm == own_name);
+        if retirement.is_none_or(|row| row.is_done) {
             return Ok(());
         }
         tracing::info!("storage: retirement requested, handing records over");
-        within(self.store.report_retirement(&me, false)).await?;
-        self.hand_over().await?;
-        within(self.store.report_retirement(&me, true)).await?;
+        with_timeout(self.store.report_retirement(&own_name, false)).await?;
+        self.hand_over_records().await?;
+        with_timeout(self.store.report_retirement(&own_name, true)).await?;
         tracing::info!("storage: retirement complete");
         Ok(())
     }
 
     /// Copies all records to the nearest other VM with a disk that accepts them.
-    async fn hand_over(&self) -> Result<(), StoreError> {
+    async fn hand_over_records(&self) -> Result<(), StoreError> {
         let records = {
             let ledger = self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-            ledger.read()
+            ledger.read_records()
         };
         let records = records.map_err(|error| unavailable(&error.to_string()))?;
         let others = self.register().await?;
@@ -263,8 +267,8 @@
             number: 1,
             records,
         };
-        for keeper in list_keepers(&others, &nearest) {
-            match keep(&keeper, batch.clone(), HAND_OVER_TIMEOUT).await {
+        for keeper in keeper_addresses(&others, &nearest) {
+            match send_batch(&keeper, batch.clone(), HAND_OVER_TIMEOUT).await {
                 Ok(()) => {
                     let records = batch.records.len();
                     tracing::info!(keeper, records, "storage: records handed over");
@@ -278,7 +282,9 @@
 }
 
 /// Limits a request to the store to [`STORE_TIMEOUT`].
-async fn within<T>(answer: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
+async fn with_timeout<T>(
+    answer: impl Future<Output = Result<T, StoreError>>,
+) -> Result<T, StoreError> {
     let answer = timeout(STORE_TIMEOUT, answer).await;
     answer.unwrap_or_else(|_| Err(unavailable("no answer in time")))
 }
--- a/crates/relay/src/store/budgets.rs
+++ b/crates/relay/src/store/budgets.rs
@@ -19,19 +19,19 @@
 const LOSSES_KEY: &str = "knapweeddale-fleet/losses";
 
 /// VMs that restart within this time of each other count the same loss.
-const SAME_LOSS_MS: u64 = 4_000;
+const LOSS_DEDUP_MS: u64 = 4_000;
 
 /// Time after which a loss no longer matters to any program.
-const FORGET_LOSS_MS: u64 = 10_000;
+const LOSS_RETENTION_MS: u64 = 10_000;
 
 /// Capacity of the cache of records, which only saves reads.
-const MAX_KNOWN_RECORDS: usize = 4_096;
+const MAX_CACHED_RECORDS: usize = 4_096;
 
 /// Attempts to record that a program has been stopped.
-const MAX_STOP_TRIES: usize = 40;
+const MAX_STOP_ATTEMPTS: usize = 40;
 
 /// Delay between two attempts to record a stop.
-const STOP_PAUSE: Duration = Duration::from_millis(500);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Conflicts with other VMs after which a write is given up.
 const MAX_CONFLICTS: usize = 6;
@@ -45,9 +45,9 @@
     new: BudgetRecord,
     has_record: bool,
     needed_tokens: u64,
-    records: &KnownRecords,
+    records: &RecordCache,
 ) -> Result<u64, StoreError> {
-    let key = key_of(&new.program);
+    let key = record_key(&new.program);
     // Most programs have no record yet, or one that this VM wrote last, and need no read. A
     // record that another VM wrote must be read, since a write without its version fails.
     let mut known = match records.get(&key) {
@@ -56,7 +56,7 @@
     };
     for _ in 0..MAX_CONFLICTS {
         let (mut record, version) = match &known {
-            Some(object) => (read(&key, object)?, object.version),
+            Some(object) => (decode_record(&key, object)?, object.version),
             None => (new.clone(), 0),
         };
         let before = record.clone();
@@ -64,7 +64,7 @@
         if record == before {
             return Ok(tokens);
         }
-        let value = serde_json::to_vec(&record).map_err(|error| unreadable(&key, &error))?;
+        let value = serde_json::to_vec(&record).map_err(|error| invalid_record(&key, &error))?;
         match store.put(&key, value.clone(), version).await {
             Ok(version) => {
                 records.set(key, Object { version, value });
@@ -81,9 +81,9 @@
 
 /// Cache of records as this VM last wrote them; other VMs may have written them since.
 #[derive(Debug, Default)]
-pub(crate) struct KnownRecords(Mutex<HashMap<String, Object>>);
+pub(crate) struct RecordCache(Mutex<HashMap<String, Object>>);
 
-impl KnownRecords {
+impl RecordCache {
     fn get(&self, key: &str) -> Option<Object> {
         let records = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         records.get(key).cloned()
@@ -91,7 +91,7 @@
 
     fn set(&self, key: String, object: Object) {
         let mut records = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if records.len() >= MAX_KNOWN_RECORDS {
+        if records.len() >= MAX_CACHED_RECORDS {
             records.clear();
         }
         records.insert(key, object);
@@ -99,26 +99,26 @@
 }
 
 /// Records that a program has exhausted its budget, retrying while the store is unavailable.
-pub(super) async fn stop<S: ObjectApi>(store: &S, program: &ProgramKey, budget_tokens: u64) {
-    for _ in 0..MAX_STOP_TRIES {
-        match try_stop(store, program, budget_tokens).await {
+pub(super) async fn record_stop<S: ObjectApi>(store: &S, program: &ProgramKey, budget_tokens: u64) {
+    for _ in 0..MAX_STOP_ATTEMPTS {
+        match try_record_stop(store, program, budget_tokens).await {
             Ok(()) => return,
             Err(error) => tracing::debug!(%program, "budgets: stop not recorded yet ({error})"),
         }
-        sleep(STOP_PAUSE).await;
+        sleep(STOP_RETRY_INTERVAL).await;
     }
-    tracing::error!(%program, "budgets: stop not recorded after {MAX_STOP_TRIES} attempts");
+    tracing::error!(%program, "budgets: stop not recorded after {MAX_STOP_ATTEMPTS} attempts");
 }
 
 /// Makes one attempt to record that a program has exhausted its budget.
-async fn try_stop<S: ObjectApi>(
+async fn try_record_stop<S: ObjectApi>(
     store: &S,
     program: &ProgramKey,
     budget_tokens: u64,
 ) -> Result<(), StoreError> {
-    let key = key_of(program);
+    let key = record_key(program);
     let stopped = BudgetRecord::stopped(program.clone(), budget_tokens);
-    let value = serde_json::to_vec(&stopped).map_err(|error| unreadable(&key, &error))?;
+    let value = serde_json::to_vec(&stopped).map_err(|error| invalid_record(&key, &error))?;
     match store.put(&key, value.clone(), 0).await {
         Err(StoreError::Conflict { .. }) => {}
         other => return other.map(|_| ()),
@@ -126,14 +126,14 @@
     let Some(known) = store.get(&key).await? else {
         return Ok(());
     };
-    if read(&key, &known)?.is_stopped {
+    if decode_record(&key, &known)?.is_stopped {
         return Ok(());
     }
     store.put(&key, value, known.version).await.map(|_| ())
 }
 
 /// Returns the key of a program's record, with `-` for characters that keys may not contain.
-fn key_of(program: &ProgramKey) -> String {
+fn record_key(program: &ProgramKey) -> String {
     let name: String = format!("{}.{}", program.account, program.name)
         .chars()
         .map(|c| {
@@ -148,12 +148,12 @@
 }
 
 /// Decodes a record.
-fn read(key: &str, object: &Object) -> Result<BudgetRecord, StoreError> {
-    serde_json::from_slice(&object.value).map_err(|error| unreadable(key, &error))
+fn decode_record(key: &str, object: &Object) -> Result<BudgetRecord, StoreError> {
+    serde_json::from_slice(&object.value).map_err(|error| invalid_record(key, &error))
 }
 
 /// Builds the error for a record that cannot be decoded or encoded.
-fn unreadable(key: &str, error: &serde_json::Error) -> StoreError {
+fn invalid_record(key: &str, error: &serde_json::Error) -> StoreError {
     StoreError::Unavailable {
         reason: format!("record {key} cannot be used: {error}"),
     }
@@ -169,18 +169,18 @@
 impl Losses {
     /// Adds a loss unless another VM has added the same one, and removes losses that no longer
     /// matter.
-    fn count(&mut self, now_unix_ms: u64) {
+    fn record(&mut self, now_unix_ms: u64) {
         let age_ms = |counted: &u64| now_unix_ms.abs_diff(*counted);
-        let same = |counted: &u64| age_ms(counted) < SAME_LOSS_MS;
+        let same = |counted: &u64| age_ms(counted) < LOSS_DEDUP_MS;
         if !self.counted_unix_ms.iter().any(same) {
             self.counted_unix_ms.push(now_unix_ms);
         }
         self.counted_unix_ms
-            .retain(|counted| age_ms(counted) < FORGET_LOSS_MS);
+            .retain(|counted| age_ms(counted) < LOSS_RETENTION_MS);
     }
 
     /// Returns the number of losses.
-    fn number(&self) -> u32 {
+    fn count(&self) -> u32 {
         u32::try_from(self.counted_unix_ms.len()).unwrap_or(u32::MAX)
     }
 }
@@ -189,33 +189,34 @@
 pub(super) async fn recover<S: ObjectApi>(
     store: &S,
 ) -> Result<(u32, Vec<BudgetRecord>), StoreError> {
-    let losses = count_loss(store).await?;
+    let losses = record_loss(store).await?;
     let entries = store.entries(PREFIX).await?;
     let mut records = Vec::with_capacity(entries.len());
     for (key, object) in &entries {
-        records.push(read(key, object)?);
+        records.push(decode_record(key, object)?);
     }
     Ok((losses, records))
 }
 
 /// Records a loss of memory and returns the number of losses that still matter.
-async fn count_loss<S: ObjectApi>(store: &S) -> Result<u32, StoreError> {
+async fn record_loss<S: ObjectApi>(store: &S) -> Result<u32, StoreError> {
     for _ in 0..MAX_CONFLICTS {
         let object = store.get(LOSSES_KEY).await?;
         let version = object.as_ref().map_or(0, |object| object.version);
         let mut losses: Losses = match &object {
             Some(object) => serde_json::from_slice(&object.value)
-                .map_err(|error| unreadable(LOSSES_KEY, &error))?,
+                .map_err(|error| invalid_record(LOSSES_KEY, &error))?,
             None => Losses::default(),
         };
         let before = losses.clone();
-        losses.count(unix_ms());
+        losses.record(unix_ms());
         if losses == before {
-            return Ok(losses.number());
+            return Ok(losses.count());
         }
-        let value = serde_json::to_vec(&losses).map_err(|error| unreadable(LOSSES_KEY, &error))?;
+        let value =
+            serde_json::to_vec(&losses).map_err(|error| invalid_record(LOSSES_KEY, &error))?;
         match store.put(LOSSES_KEY, value, version).await {
-            Ok(_) => return Ok(losses.number()),
+            Ok(_) => return Ok(losses.count()),
             Err(StoreError::Conflict { .. }) => {}
             Err(error) => return Err(error),
         }
--- a/crates/relay/src/store/mod.rs
+++ b/crates/relay/src/store/mod.rs
@@ -17,15 +17,15 @@
 use crate::control::InputSender;
 use crate::metrics::Metrics;
 
-pub(crate) use budgets::KnownRecords;
-pub(crate) use registry::{Registration, Role, list_keepers, register};
+pub(crate) use budgets::RecordCache;
+pub(crate) use registry::{Registration, Role, keeper_addresses, register};
 
 /// Time limit for a request; a slow store answers within a quarter of a second.
-const TIMEOUT: Duration = Duration::from_millis(900);
+const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Sends the core's requests to the store and returns the answers as inputs.
 #[derive(Debug)]
-pub(crate) struct Source<S, C> {
+pub(crate) struct SourceClient<S, C> {
     pub store: Arc<S>,
     pub clock: C,
     pub inputs: InputSender,
@@ -34,49 +34,49 @@
     /// Whether the settings name other VMs.
     pub has_seeds: bool,
     /// Cache of the budget records that this VM has written.
-    pub records: KnownRecords,
+    pub budget_records: RecordCache,
 }
 
-impl<S: FleetStore, C: Clock> Source<S, C> {
+impl<S: FleetStore, C: Clock> SourceClient<S, C> {
     /// Handles requests concurrently until the control thread ends.
     pub async fn run(self, mut requests: mpsc::Receiver<SourceRequest>) {
         let source = Arc::new(self);
         while let Some(request) = requests.recv().await {
             let source = Arc::clone(&source);
-            tokio::spawn(async move { source.answer(request).await });
+            tokio::spawn(async move { source.handle_request(request).await });
         }
     }
 
     /// Handles one request and sends the answer to the core.
-    async fn answer(&self, request: SourceRequest) {
+    async fn handle_request(&self, request: SourceRequest) {
         if let SourceRequest::Stop {
             program,
             budget_tokens,
         } = &request
         {
-            budgets::stop(&*self.store, program, *budget_tokens).await;
+            budgets::record_stop(&*self.store, program, *budget_tokens).await;
             return;
         }
-        let part = part_of(&request);
-        let purpose = purpose_of(&part);
+        let part = source_part(&request);
+        let purpose = purpose_label(&part);
         let asked_us = self.clock.now_us();
         let started = Instant::now();
-        let answer = timeout(TIMEOUT, self.ask(request, asked_us)).await;
+        let answer = timeout(STORE_TIMEOUT, self.send_request(request, asked_us)).await;
         let took = started.elapsed();
         let event = match answer {
             Ok(Ok(event)) => {
-                self.metrics.count_store(purpose, true, took);
+                self.metrics.observe_store_request(purpose, true, took);
                 tracing::debug!(purpose, "source: answered");
                 event
             }
             Ok(Err(error)) => {
-                self.metrics.count_store(purpose, false, took);
+                self.metrics.observe_store_request(purpose, false, took);
                 tracing::debug!(purpose, "source: request failed ({error})");
                 SourceEvent::Failed(part)
             }
             Err(_) => {
-                self.metrics.count_store(purpose, false, took);
-                tracing::debug!(purpose, "source: request timed out after {TIMEOUT:?}");
+                self.metrics.observe_store_request(purpose, false, took);
+                tracing::debug!(purpose, "source: request timed out after {STORE_TIMEOUT:?}");
                 SourceEvent::Failed(part)
             }
         };
@@ -84,7 +84,11 @@
     }
 
     /// Sends a request to the store and returns its answer.
-    async fn ask(&self, request: SourceRequest, asked_us: u64) -> Result<SourceEvent, StoreError> {
+    async fn send_request(
+        &self,
+        request: SourceRequest,
+        asked_us: u64,
+    ) -> Result<SourceEvent, StoreError> {
         match request {
             SourceRequest::Config => Ok(SourceEvent::Config {
                 asked_us,
@@ -104,7 +108,7 @@
                     keepers: keepers.into_iter().map(Registration::into_keeper).collect(),
                 })
             }
-            // Handled by `answer`, since it has no answer.
+            // Handled by `handle_request`, since it has no answer.
             SourceRequest::Stop { program, .. } => {
                 Ok(SourceEvent::Failed(SourcePart::Budget(program)))
             }
@@ -121,7 +125,7 @@
                 has_record,
             } => {
                 let new = BudgetRecord::new(program.clone(), budget_tokens, turn_tokens, losses);
-                let records = &self.records;
+                let records = &self.budget_records;
                 let tokens =
                     budgets::reserve(&*self.store, new, has_record, needed_tokens, records).await?;
                 Ok(SourceEvent::Reserved { program, tokens })
@@ -131,7 +135,7 @@
 }
 
 /// Returns the part of the store's data that a request concerns.
-fn part_of(request: &SourceRequest) -> SourcePart {
+fn source_part(request: &SourceRequest) -> SourcePart {
     match request {
         SourceRequest::Config => SourcePart::Config,
         SourceRequest::Upstreams => SourcePart::Upstreams,
@@ -144,7 +148,7 @@
 }
 
 /// Returns the label of a request in metrics and logs.
-fn purpose_of(part: &SourcePart) -> &'static str {
+fn purpose_label(part: &SourcePart) -> &'static str {
     match part {
         SourcePart::Config => "config",
         SourcePart::Upstreams => "upstreams",
--- a/crates/relay/src/store/registry.rs
+++ b/crates/relay/src/store/registry.rs
@@ -60,18 +60,18 @@
 /// each other from VMs that they already know.
 pub(crate) async fn register<S: ObjectApi>(
     store: &S,
-    me: &Registration,
+    own: &Registration,
     knows_others: bool,
 ) -> Result<Vec<Registration>, StoreError> {
-    let key = me.key();
+    let key = own.key();
     let entries = store.entries(PREFIX).await?;
-    let mut registered = decode(&entries);
-    if registered.contains(me) {
+    let mut registered = decode_registrations(&entries);
+    if registered.contains(own) {
         return Ok(registered);
     }
-    let mine = entries.iter().find(|(name, _)| *name == key);
-    let version = mine.map_or(0, |(_, object)| object.version);
-    let value = serde_json::to_vec(me).map_err(|error| StoreError::Unavailable {
+    let current = entries.iter().find(|(name, _)| *name == key);
+    let version = current.map_or(0, |(_, object)| object.version);
+    let value = serde_json::to_vec(own).map_err(|error| StoreError::Unavailable {
         reason: format!("registration cannot be written: {error}"),
     })?;
     match store.put(&key, value, version).await {
@@ -81,15 +81,15 @@
     }
     if !knows_others {
         let entries = store.entries(PREFIX).await?;
-        return Ok(decode(&entries));
+        return Ok(decode_registrations(&entries));
     }
-    registered.retain(|row| row.vm != me.vm);
-    registered.push(me.clone());
+    registered.retain(|row| row.vm != own.vm);
+    registered.push(own.clone());
     Ok(registered)
 }
 
 /// Decodes registrations, skipping invalid ones.
-fn decode(entries: &[(String, Object)]) -> Vec<Registration> {
+fn decode_registrations(entries: &[(String, Object)]) -> Vec<Registration> {
     let decoded = entries.iter().filter_map(|(name, object)| {
         let row = serde_json::from_slice(&object.value);
         row.inspect_err(|error| tracing::warn!(name, "source: registration ignored ({error})"))
@@ -99,7 +99,7 @@
 }
 
 /// Returns the addresses of VMs with a disk, those in the given failure domain first.
-pub(crate) fn list_keepers(keepers: &[RecordKeeper], nearest: &DomainName) -> Vec<String> {
+pub(crate) fn keeper_addresses(keepers: &[RecordKeeper], nearest: &DomainName) -> Vec<String> {
     let mut keepers: Vec<&RecordKeeper> = keepers.iter().collect();
     keepers.sort_by_key(|row| (row.failure_domain != *nearest, row.vm.clone()));
     keepers.into_iter().map(|row| row.address.clone()).collect()
--- a/crates/relay/tests/metrics_page.rs
+++ b/crates/relay/tests/metrics_page.rs
@@ -6,7 +6,7 @@
 const CODE: &str = include_str!("../src/metrics.rs");
 
 /// Returns the names of the metrics that a text mentions.
-fn names(text: &str) -> BTreeSet<&str> {
+fn metric_names(text: &str) -> BTreeSet<&str> {
     text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_')
         .filter(|word| word.starts_with("kwd_"))
         .collect()
@@ -15,7 +15,7 @@
 /// Guards against a metric that the page omits, or lists although it has been removed.
 #[test]
 fn all_named() {
-    assert_eq!(names(PAGE), names(CODE));
+    assert_eq!(metric_names(PAGE), metric_names(CODE));
 }
 
 /// Guards against a row whose description differs from the help text in the code.
