--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control value: all tables and the systems that run over them.
+//! The control state of a VM: its tables and the systems that run over them each tick.
 
 use crate::config::{Coordination, CoreSettings};
 use crate::ids::Epoch;
@@ -8,13 +8,13 @@
 use crate::systems::{self, Tick, Work};
 use crate::tables::{Member, ProgramKnowledge, Tables, Timer, View};
 
-/// How often the systems run over the work lists in one tick.
+/// Maximum number of passes of the systems over their inputs in one tick.
 ///
-/// Messages of a VM to itself make further work; a chain through all parts of
-/// a call takes fewer passes than this.
+/// Messages that a VM sends to itself need further passes; the longest chain of
+/// them, through all parts of a call, needs fewer passes than this.
 const MAX_PASSES: usize = 16;
 
-/// The decisions of one VM.
+/// The control state of one VM, which makes all its decisions.
 ///
 /// One thread owns the value and calls [`Control::tick`] when inputs arrive
 /// or [`Control::next_deadline_us`] is reached.
@@ -26,7 +26,7 @@
 }
 
 impl Control {
-    /// Makes the control value of a VM that has just started.
+    /// Creates the control state of a VM that has just started.
     pub fn new(settings: CoreSettings) -> Self {
         let mut tables = Tables::default();
         match settings.coordination {
@@ -40,11 +40,10 @@
         }
     }
 
-    /// Handles inputs and everything that is due.
+    /// Handles inputs and due timers.
     ///
-    /// `now_us` is monotonic time in microseconds; its start is of no
-    /// importance. Outputs are appended in the order in which they have to be
-    /// carried out.
+    /// `now_us` is monotonic time in microseconds from an arbitrary start. Outputs
+    /// are appended in the order in which they have to be executed.
     pub fn tick(
         &mut self,
         now_us: u64,
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Returns when [`Control::tick`] has to be called at the latest.
+    /// Returns the latest time for the next [`Control::tick`]; `None` if no timer is set.
     pub fn next_deadline_us(&self) -> Option<u64> {
         if !self.work.is_empty() {
             return Some(0);
@@ -81,8 +80,8 @@
 
     /// Returns whether the load balancer may send calls to this VM.
     ///
-    /// That is the case once the VM is connected to the fleet and has the
-    /// newest configuration that it has heard of, until it is asked to stop.
+    /// It may while the VM is not isolated and has the newest configuration that
+    /// it knows of, until it is asked to stop.
     pub fn is_ready(&self, now_us: u64) -> bool {
         let tables = &self.tables;
         tables.fleet.revision.0 > 0
@@ -91,32 +90,32 @@
             && !tables.membership.departure.is_draining
     }
 
-    /// Returns whether a VM that was asked to stop has handed everything over.
+    /// Returns whether this VM was asked to stop and has handed everything over.
     ///
-    /// Calls that still run are not counted here.
+    /// Calls may still be running.
     pub fn has_left(&self) -> bool {
         self.tables.membership.departure.has_left
     }
 
-    /// Returns the state of this VM for another one that lacks a part of it.
+    /// Returns the state of this VM, for a VM that lacks part of it.
     pub fn snapshot(&self, now_us: u64, with_programs: bool) -> Snapshot {
         systems::peers::snapshot(&self.tables, now_us, with_programs)
     }
 
-    /// Returns the tables for reading.
+    /// Returns the tables, read-only.
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
 
-    /// Returns the settings.
+    /// Returns the settings that the VM was started with.
     pub fn settings(&self) -> &CoreSettings {
         &self.settings
     }
 }
 
-/// Prepares the tables of a VM that decides for its own calls.
+/// Initializes the tables of a VM that decides for its own calls only.
 ///
-/// It is the only member of its view and so owns the pools of its own calls.
+/// Its view has this VM as the only member, so it owns the pools of its calls.
 fn start_alone(settings: &CoreSettings, tables: &mut Tables) {
     let mut view = View {
         epoch: Epoch(1),
--- a/crates/core/src/ids/digest.rs
+++ b/crates/core/src/ids/digest.rs
@@ -4,7 +4,7 @@
 
 use subtle::ConstantTimeEq;
 
-/// Defines a digest type shown in hexadecimal.
+/// Defines digest types that are formatted as hexadecimal text.
 macro_rules! digests {
     ($($(#[$doc:meta])* $name:ident = $len:literal),+ $(,)?) => {$(
         $(#[$doc])*
@@ -27,15 +27,15 @@
 }
 
 digests! {
-    /// Identifies the content of a request across resends.
+    /// Digest of a request's content, equal for all resends of it.
     ContentDigest = 16,
-    /// Identifies the messages of a program up to a turn.
+    /// Digest of a program's messages up to and including a turn.
     HistoryDigest = 32,
 }
 
 /// The SHA-256 digest of a caller's key.
 ///
-/// Comparison takes the same time for all values, and `Debug` hides them.
+/// Comparison takes constant time, and `Debug` does not show the digest.
 #[derive(Clone, Copy)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Secret256(#[cfg_attr(feature = "serde", serde(with = "super::hex"))] pub [u8; 32]);
--- a/crates/core/src/ids/hex.rs
+++ b/crates/core/src/ids/hex.rs
@@ -1,11 +1,11 @@
-//! Digests as hexadecimal text on the wire, which is shorter than a list of numbers.
+//! Serializes digests as hexadecimal text, which is shorter than a list of numbers.
 
 use std::fmt;
 
 use serde::de::{Error, Visitor};
 use serde::{Deserializer, Serializer};
 
-/// Writes bytes as hexadecimal text.
+/// Serializes bytes as hexadecimal text.
 pub(super) fn serialize<S: Serializer, const N: usize>(
     bytes: &[u8; N],
     serializer: S,
@@ -14,14 +14,14 @@
     serializer.serialize_str(&text)
 }
 
-/// Reads bytes from hexadecimal text.
+/// Deserializes bytes from hexadecimal text.
 pub(super) fn deserialize<'de, D: Deserializer<'de>, const N: usize>(
     deserializer: D,
 ) -> Result<[u8; N], D::Error> {
     deserializer.deserialize_str(HexVisitor)
 }
 
-/// Reads exactly `N` bytes.
+/// Parses the hexadecimal text of exactly `N` bytes.
 struct HexVisitor<const N: usize>;
 
 impl<const N: usize> Visitor<'_> for HexVisitor<N> {
--- a/crates/core/src/ids/mod.rs
+++ b/crates/core/src/ids/mod.rs
@@ -1,4 +1,4 @@
-//! Identifiers of the entities in the tables.
+//! Names, numbers and digests that identify the entities in the tables.
 
 mod digest;
 #[cfg(feature = "serde")]
--- a/crates/core/src/ids/name.rs
+++ b/crates/core/src/ids/name.rs
@@ -1,14 +1,14 @@
-//! Shared immutable names.
+//! Names of entities, as shared immutable strings.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// Defines a name type over a shared immutable string.
+/// Defines name types, each a shared immutable string.
 macro_rules! names {
     ($($(#[$doc:meta])* $name:ident),+ $(,)?) => {$(
         $(#[$doc])*
         ///
-        /// Cloning is cheap: the text is shared.
+        /// Clones share the text, so cloning is cheap.
         #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
         #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
         pub struct $name(Arc<str>);
@@ -66,7 +66,7 @@
 }
 
 impl ProgramName {
-    /// Returns the name of the root program, sharing the text if this is it.
+    /// Returns the name of the root program; a root program's name is cloned without copying.
     #[must_use]
     pub fn root_name(&self) -> Self {
         if self.is_root() {
@@ -80,7 +80,7 @@
         !self.as_str().contains('/')
     }
 
-    /// Returns whether the program is this one or a sub-agent of it.
+    /// Returns whether this program is `other` or one of its sub-agents.
     pub fn is_within(&self, other: &Self) -> bool {
         self.as_str()
             .strip_prefix(other.as_str())
--- a/crates/core/src/ids/number.rs
+++ b/crates/core/src/ids/number.rs
@@ -2,16 +2,16 @@
 
 use derive_more::Display;
 
-/// The number of a process start, unique over the fleet.
+/// Identifies one start of a VM's process, unique in the fleet.
 ///
 /// The daemon derives it from its start time and a random part, so that a
-/// restarted VM is never taken for its predecessor.
+/// restarted VM is never mistaken for its previous incarnation.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[display("{_0:016x}")]
 pub struct Incarnation(pub u64);
 
-/// The number of a view. A higher epoch replaces a lower one.
+/// The number of a view. A view replaces all views with lower epochs.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Epoch(pub u64);
@@ -24,39 +24,39 @@
     }
 }
 
-/// The number of a published configuration.
+/// The number of a published configuration. Newer configurations have higher numbers.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Revision(pub u64);
 
-/// Lets an upstream refuse orders of an earlier owner: later tokens are higher.
+/// Lets an upstream reject orders from an earlier owner: later tokens are higher.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 #[display("{epoch}.{seq}")]
 pub struct FencingToken {
-    /// The view in which the order was given.
+    /// The epoch in which the order was sent.
     pub epoch: Epoch,
-    /// Counts the orders of the owner.
+    /// Sequence number of the owner's order.
     pub seq: u64,
 }
 
-/// A call, unique over the fleet.
+/// Identifies a call, unique in the fleet.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[display("{incarnation}-{seq}")]
 pub struct CallId {
-    /// The start of the entry VM that received the call.
+    /// The incarnation of the entry VM that received the call.
     pub incarnation: Incarnation,
-    /// Counts the calls of that start.
+    /// Sequence number of the call in that incarnation.
     pub seq: u64,
 }
 
-/// One attempt to run a call on an upstream.
+/// Identifies one attempt to run a call on an upstream.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[display("{call}.{number}")]
 pub struct AttemptId {
-    /// The call that is run.
+    /// The call that the attempt runs.
     pub call: CallId,
-    /// Counts the attempts of the call, from 1.
+    /// Number of the attempt within the call, from 1.
     pub number: u32,
 }
--- a/crates/core/src/ids/program.rs
+++ b/crates/core/src/ids/program.rs
@@ -1,10 +1,10 @@
-//! Composite identifiers.
+//! Keys of programs and pools, composed of names.
 
 use derive_more::Display;
 
 use super::{AccountName, ModelName, ProgramName, ServiceName};
 
-/// A program of a client account.
+/// Identifies a program by its client account and name.
 #[derive(Debug, Display, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[display("{account}/{name}")]
@@ -26,13 +26,13 @@
     }
 }
 
-/// The upstreams of one service and model, which share a queue.
+/// Identifies a pool: the upstreams of one service and model, which share a queue.
 #[derive(Debug, Display, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[display("{service}:{}", model.as_ref().map_or("-", |m| m.as_str()))]
 pub struct PoolKey {
     /// The service.
     pub service: ServiceName,
-    /// The model; absent for plain services.
+    /// The model; `None` for plain services.
     pub model: Option<ModelName>,
 }
--- a/crates/core/src/input/attempt.rs
+++ b/crates/core/src/input/attempt.rs
@@ -1,4 +1,4 @@
-//! What happened to an attempt on an upstream.
+//! Events and outcomes of attempts on upstreams.
 
 use crate::ids::{AttemptId, HistoryDigest};
 
@@ -11,12 +11,12 @@
     pub progress: AttemptProgress,
 }
 
-/// What happened to an attempt.
+/// A step in the progress of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptProgress {
-    /// The first byte of the request is about to leave for the upstream.
+    /// The first byte of the request is about to be sent to the upstream.
     Sent,
-    /// The first token or byte of the response arrived.
+    /// The first token or byte of the response has arrived.
     FirstToken,
     /// The response is complete.
     Finished(AttemptOutcome),
@@ -27,11 +27,11 @@
 /// The result of a complete attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AttemptOutcome {
-    /// Tokens of the prompt as counted by the upstream.
+    /// Prompt tokens as counted by the upstream.
     pub prompt_tokens: u64,
     /// Prompt tokens that the upstream found in its cache.
     pub cached_tokens: u64,
-    /// Tokens of the response.
+    /// Generated tokens.
     pub answer_tokens: u64,
     /// The digest of the history including the response.
     pub history: HistoryDigest,
@@ -40,35 +40,35 @@
 /// Why an attempt ended without a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte of the request left for the upstream.
+    /// No byte of the request was sent to the upstream.
     NotSent,
-    /// The upstream refused the request explicitly and did not run it.
+    /// The upstream explicitly refused the request and did not run it.
     RefusedByUpstream {
         /// The HTTP status of the refusal.
         status: u16,
     },
-    /// The upstream answered with an error after accepting the request.
+    /// The upstream accepted the request and returned an error.
     UpstreamError {
         /// The HTTP status of the error.
         status: u16,
     },
     /// The connection broke, as it does when the upstream crashes.
     ConnectionLost {
-        /// Tokens received before that.
+        /// Tokens received before the connection broke.
         answer_tokens: u64,
         /// Whether any part of the response reached the caller.
         forwarded: bool,
     },
     /// Nothing arrived within the time limit.
     Silent {
-        /// Tokens received before that.
+        /// Tokens received before the timeout.
         answer_tokens: u64,
         /// Whether any part of the response reached the caller.
         forwarded: bool,
     },
     /// The caller disconnected or read too slowly.
     CallerGone {
-        /// Tokens received before that.
+        /// Tokens received before the caller disconnected.
         answer_tokens: u64,
     },
 }
@@ -79,7 +79,7 @@
         matches!(self, Self::NotSent | Self::RefusedByUpstream { .. })
     }
 
-    /// Returns whether a part of the response reached the caller.
+    /// Returns whether any part of the response reached the caller.
     pub fn is_forwarded(&self) -> bool {
         match self {
             Self::ConnectionLost { forwarded, .. } | Self::Silent { forwarded, .. } => *forwarded,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns the tokens that the upstream generated before the failure.
+    /// Returns the number of tokens received before the failure.
     pub fn answer_tokens(&self) -> u64 {
         match self {
             Self::ConnectionLost { answer_tokens, .. }
--- a/crates/core/src/input/call.rs
+++ b/crates/core/src/input/call.rs
@@ -1,4 +1,4 @@
-//! A call as the front end hands it to the core.
+//! Calls and program requests as the front end passes them to the core.
 
 use std::sync::Arc;
 
@@ -16,35 +16,35 @@
 /// that the messages hash to the continuation's history digest.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct NewCall {
-    /// The call's identity, chosen by the front end.
+    /// The call ID, assigned by the front end.
     pub id: CallId,
-    /// The key that came with the call, if any.
+    /// The caller's key; `None` if the call carried none.
     pub key: Option<PresentedKey>,
     /// What the call asks for.
     pub target: Target,
-    /// The program and turn of the call, if it belongs to one.
+    /// The program and turn; `None` if the call belongs to no program.
     pub program: Option<ProgramTurn>,
-    /// The right to send a request that may not be repeated.
+    /// The permit of a non-idempotent request; `None` if the call carried none.
     pub permit: Option<Permit>,
-    /// Tokens of the prompt, as estimated by the front end.
+    /// Prompt tokens, as estimated by the front end.
     #[builder(default)]
     pub prompt_tokens: u64,
-    /// Highest number of tokens of the response.
+    /// Maximum number of response tokens.
     #[builder(default)]
     pub max_tokens: u64,
-    /// Identifies the content across resends.
+    /// The digest of the content, equal for all resends of it.
     #[builder(default)]
     pub digest: ContentDigest,
-    /// What a call states that carries its whole prompt; absent for others.
+    /// Further data of a call that carries its whole prompt; `None` for other calls.
     pub relayed: Option<Box<RelayedCall>>,
 }
 
-/// A caller's key, reduced to what the core needs.
+/// The ID and digest of a caller's key; the core never sees the key itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PresentedKey {
     /// The public part of the key.
     pub id: KeyId,
-    /// The digest of the whole key.
+    /// The SHA-256 digest of the whole key.
     pub sha256: Secret256,
 }
 
@@ -53,7 +53,7 @@
 pub enum Target {
     /// A completion by a model.
     Model(ModelName),
-    /// A request to a plain service.
+    /// A request to a service that is no engine.
     Plain {
         /// The service.
         service: ServiceName,
@@ -62,27 +62,27 @@
         /// The path below the service, starting with `/`.
         path: String,
     },
-    /// A request that is routed by host and path.
+    /// A request routed by its host and path.
     Host {
         /// The host, in lower case.
         host: Arc<str>,
-        /// The path.
+        /// The path of the request.
         path: Arc<str>,
     },
 }
 
-/// The place of a call in its program.
+/// The program and turn that a call belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramTurn {
     /// The program's name within the account.
     pub name: ProgramName,
-    /// The turn, from 1.
+    /// The turn number, from 1.
     pub turn: u32,
-    /// The state of the program that the previous response carried.
+    /// The continuation from the previous response; `None` if the caller sent none.
     pub continuation: Option<Continuation>,
 }
 
-/// The state of a program that the caller carries from turn to turn.
+/// The state of a program after a turn, which the caller sends with the next one.
 ///
 /// The front end signs it; the core only sees verified values.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -90,65 +90,65 @@
 pub struct Continuation {
     /// The program.
     pub program: ProgramKey,
-    /// Distinguishes programs that had the same name one after another.
+    /// Distinguishes successive programs with the same name.
     pub generation: u64,
-    /// The last finished turn.
+    /// The number of the last finished turn.
     pub turn: u32,
     /// The digest of the messages up to and including that turn.
     pub history: HistoryDigest,
-    /// Tokens used by the whole program tree so far.
+    /// Tokens used so far by the program and all its sub-agents.
     pub spent_tokens: u64,
-    /// Age of the program when the turn finished.
+    /// Age of the program at the end of that turn.
     pub age_ms: u64,
-    /// The epoch in which the home finished the turn.
+    /// The epoch in which the home recorded the end of that turn.
     pub epoch: Epoch,
 }
 
-/// The single-use right to send one request that may not be repeated.
+/// A single-use permit to send one non-idempotent request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Permit {
     /// The program.
     pub program: ProgramKey,
-    /// Distinguishes programs that had the same name one after another.
+    /// Distinguishes successive programs with the same name.
     pub generation: u64,
     /// The turn that the permit is for.
     pub turn: u32,
     /// The home that issued the permit, the only one that accepts it.
     pub home: VmName,
-    /// The start of that home.
+    /// The incarnation of that home's process.
     pub incarnation: Incarnation,
-    /// The epoch in which it was issued.
+    /// The epoch in which the permit was issued.
     pub epoch: Epoch,
-    /// Counts the permits of the home's process.
+    /// Sequence number of the permit.
     pub seq: u64,
 }
 
-/// A request of a caller about a program.
+/// A caller's request about a program.
 ///
 /// The front end has checked the signature of the continuation.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct ProgramRequest {
-    /// The request's identity, chosen by the front end like that of a call.
+    /// The request ID, assigned by the front end from the same sequence as call IDs.
     pub id: CallId,
-    /// The key that came with the request, if any.
+    /// The caller's key; `None` if the request carried none.
     pub key: Option<PresentedKey>,
     /// The program's name within the account.
     pub program: ProgramName,
-    /// The state of the program that the last response carried.
+    /// The continuation from the last response; `None` if the caller sent none.
     pub continuation: Option<Continuation>,
     /// What is asked for.
     pub kind: ProgramRequestKind,
 }
 
-/// What a caller asks for about a program.
+/// What a caller requests for a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProgramRequestKind {
-    /// A permit for a turn that may not be repeated.
+    /// A permit for a non-idempotent turn.
     Permit {
-        /// The turn.
+        /// The turn number.
         turn: u32,
     },
-    /// The end of the program and of its sub-agents.
+    /// To end the program and its sub-agents.
     End,
 }
--- a/crates/core/src/input/event.rs
+++ b/crates/core/src/input/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can reach the core.
+//! All inputs of the core and the events they carry.
 
 use std::sync::Arc;
 
@@ -13,99 +13,99 @@
 pub enum Input {
     /// A call arrived.
     CallArrived(Box<NewCall>),
-    /// A caller asks for a permit or ends a program.
+    /// A caller requested a permit or the end of a program.
     Program(Box<ProgramRequest>),
     /// An engine confirmed that it released the memory of a program.
     ReleaseConfirmed {
-        /// The engine.
+        /// The engine that released it.
         upstream: UpstreamName,
         /// The program.
         program: ProgramKey,
-        /// The generation that was released.
+        /// The generation whose memory was released.
         generation: u64,
     },
     /// The caller of a call that is still waiting disconnected.
     CallAbandoned(CallId),
-    /// Something happened to an attempt.
+    /// An attempt made progress or ended.
     Attempt(AttemptEvent),
-    /// A message of another VM arrived.
+    /// A message from another VM arrived.
     Peer {
         /// The sender.
         from: VmName,
-        /// The start of the sender's process.
+        /// The incarnation of the sender's process.
         incarnation: Incarnation,
         /// The message.
         message: PeerMessage,
     },
-    /// The store answered a request or failed to.
+    /// The store answered a request for the view, or failed to.
     Store(StoreEvent),
-    /// The platform's list of VMs, which may lag.
+    /// The platform's list of VMs, which may be out of date.
     VmList(Vec<VmStatus>),
-    /// A configuration that has passed all checks.
+    /// A validated configuration.
     Config(Arc<FleetConfig>),
-    /// An upstream reported its load, with a lag.
+    /// An upstream reported its load; reports arrive with a delay.
     Load {
-        /// The upstream.
+        /// The upstream that reported.
         upstream: UpstreamName,
-        /// Calls running on it, from all VMs.
+        /// Calls of all VMs that run on it.
         running_calls: u32,
-        /// Generated tokens a second.
+        /// Tokens generated per second.
         tokens_per_s: u64,
     },
     /// An upstream was probed after a connection broke.
     Probed {
         /// The upstream.
         upstream: UpstreamName,
-        /// What the probe found.
+        /// The result of the probe.
         state: ProbeState,
     },
-    /// An engine reported the models that it has loaded.
+    /// An engine reported its loaded models.
     Loaded {
-        /// The engine.
+        /// The engine that reported.
         upstream: UpstreamName,
-        /// The models.
+        /// The loaded models.
         models: Vec<ModelName>,
-        /// Calls running on it, from all VMs.
+        /// Calls of all VMs that run on it.
         running_calls: u32,
     },
-    /// An upstream answered an order or failed to.
+    /// An upstream answered an order, or failed to.
     OrderResult {
         /// The upstream.
         upstream: UpstreamName,
-        /// The token of the order.
+        /// The fencing token of the order.
         token: FencingToken,
-        /// The answer.
+        /// The result of the order.
         result: OrderResult,
     },
     /// The store answered a request about configuration, upstreams, VMs or budgets.
     Source(SourceEvent),
-    /// Another VM said something under `Coordination::Peers`.
+    /// Another VM sent its state under `Coordination::Peers`, or failed to.
     News(PeerNews),
-    /// The process has been asked to stop.
+    /// The process was asked to stop: drain this VM.
     Drain,
-    /// The process ends now; calls that are still open end with it.
+    /// The process stops now, which ends all open calls.
     Halt,
 }
 
-/// The answer to an order.
+/// The result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The order was carried out.
+    /// The upstream executed the order.
     Done,
     /// The upstream has seen a higher fencing token.
     Stale,
-    /// There was no answer; the order may have been carried out.
+    /// No answer arrived; the upstream may have executed the order.
     Unknown,
 }
 
-/// What a probe found after a connection to an upstream broke.
+/// The result of a probe after a connection to an upstream broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeState {
-    /// A new connection works, and the process has not restarted.
+    /// The upstream accepts connections and its process has not restarted.
     Up,
-    /// A new connection works, and the process has restarted.
+    /// The upstream accepts connections and its process has restarted.
     Restarted,
-    /// No connection was accepted.
+    /// The upstream accepts no connection.
     Down,
 }
 
@@ -114,37 +114,37 @@
 pub enum StoreEvent {
     /// The view object was read; `None` if it does not exist.
     ViewRead(Option<StoredView>),
-    /// The view was written by this VM.
+    /// This VM wrote a view.
     ViewWritten(StoredView),
-    /// The view was touched by this VM.
+    /// This VM rewrote the view unchanged.
     ViewTouched {
-        /// The version after the touch.
+        /// The new version of the object.
         version: u64,
         /// When the request was sent, on this VM's clock.
         sent_us: u64,
     },
-    /// A conditional update lost against another one.
+    /// A conditional update failed because the object had another version.
     Conflict,
-    /// The store did not answer, or answered with an error.
+    /// The store did not answer or returned an error.
     Unavailable,
 }
 
-/// The view with its version in the store.
+/// A view and the version of its object in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredView {
     /// The view.
     pub view: View,
-    /// The version of the object.
+    /// The version of the view object.
     pub version: u64,
 }
 
 /// One entry of the platform's list of VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VmStatus {
-    /// The VM.
+    /// The name of the VM.
     pub vm: VmName,
-    /// The address as `ip:port`.
+    /// Its address as `ip:port`.
     pub address: String,
-    /// Whether the VM is being removed.
+    /// Whether the platform is removing the VM.
     pub leaving: bool,
 }
--- a/crates/core/src/input/mod.rs
+++ b/crates/core/src/input/mod.rs
@@ -1,4 +1,4 @@
-//! Typed inputs of the core.
+//! Inputs of the core: calls, events of upstreams, messages of other VMs and store answers.
 
 mod attempt;
 mod call;
--- a/crates/core/src/input/relay.rs
+++ b/crates/core/src/input/relay.rs
@@ -1,4 +1,4 @@
-//! Calls that carry their whole prompt and are relayed unchanged.
+//! Relayed calls, and the events of VMs that relay them: store answers and peer state.
 
 use std::sync::Arc;
 
@@ -9,41 +9,42 @@
 use crate::message::{Snapshot, Summary};
 use crate::tables::BudgetRecord;
 
-/// What a relayed call states beside its target.
+/// Data of a relayed call beyond its target.
 ///
-/// Such a call has an identity of its own for each attempt of its caller, carries its whole
-/// prompt, and needs neither a home nor a permit.
+/// Such a call has a new ID for each attempt of its caller, carries its whole prompt, and needs
+/// neither a home nor a permit.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct RelayedCall {
-    /// Until when the caller waits, on this VM's clock.
+    /// Time until which the caller waits, on this VM's clock.
     pub deadline_us: u64,
-    /// Spreads calls over the backends of a route.
+    /// Hash that selects one of the route's backends by weight.
     pub spread: u64,
-    /// The model that it asks for; absent for plain services.
+    /// The requested model; `None` for plain services.
     pub model: Option<ModelName>,
-    /// The program that it belongs to.
+    /// The program; `None` if the call belongs to none.
     pub program: Option<ProgramName>,
-    /// The line of turns that it belongs to; the sub-agents of a program have lines of their own.
+    /// Identifies the sequence of turns that the call belongs to; each sub-agent of a program has
+    /// its own sequence.
     pub line: Option<u64>,
-    /// Tokens that all turns of the program may generate; absent if the call is no turn.
+    /// Tokens that all turns of the program may generate; `None` if the call is no turn.
     pub budget_tokens: Option<u64>,
 }
 
-/// An upstream in the list that upstreams keep of themselves.
+/// An entry of the upstream list, written by the upstream itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ListedUpstream {
-    /// The service that it runs.
+    /// The service that the upstream belongs to.
     pub service: ServiceName,
-    /// What it states of itself.
+    /// The upstream's own configuration.
     pub config: UpstreamConfig,
 }
 
-/// The upstreams that were listed at one moment.
+/// The upstream list at one revision of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct UpstreamList {
-    /// Grows with each change in the store.
+    /// Revision of the list, which grows with each change in the store.
     pub revision: u64,
     /// The upstreams, ordered by name.
     pub upstreams: Vec<ListedUpstream>,
@@ -52,96 +53,96 @@
 /// A VM that has registered in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegisteredVm {
-    /// The name.
+    /// The name of the VM.
     pub vm: VmName,
-    /// The address at which it takes summaries, as `ip:port`.
+    /// The address at which it receives summaries, as `ip:port`.
     pub address: String,
 }
 
-/// A VM with a disk, which keeps charge records.
+/// A VM with a disk, which stores charge records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct RecordKeeper {
-    /// The name.
+    /// The name of the VM.
     pub vm: VmName,
-    /// The address at which it takes records, as `ip:port`.
+    /// The address at which it receives records, as `ip:port`.
     pub address: String,
     /// Its failure domain.
     pub failure_domain: DomainName,
 }
 
-/// What the platform's store answered.
+/// An answer of the platform's store to a `SourceRequest`.
 ///
-/// Each answer carries when its request was sent: what the store has acknowledged before that
-/// moment is in the answer.
+/// Answers to reads carry the time at which the request was sent: they include every write that
+/// the store acknowledged before then.
 #[derive(Debug, Clone)]
 pub enum SourceEvent {
     /// The published configuration; `None` if there is none yet.
     Config {
-        /// When the request was sent.
+        /// When the request was sent, on this VM's clock.
         asked_us: u64,
         /// The configuration.
         fleet: Option<Arc<FleetConfig>>,
     },
-    /// The list of upstreams.
+    /// The upstream list.
     Upstreams {
-        /// When the request was sent.
+        /// When the request was sent, on this VM's clock.
         asked_us: u64,
         /// The list.
         list: Arc<UpstreamList>,
     },
-    /// The registered VMs; this VM is one of them.
+    /// The registered VMs, including this one.
     Vms {
-        /// Those that relay calls.
+        /// VMs that relay calls.
         relays: Vec<RegisteredVm>,
-        /// Those with a disk.
+        /// VMs with a disk.
         keepers: Vec<RecordKeeper>,
     },
-    /// Tokens were reserved for a program.
+    /// The result of a reservation of budget tokens.
     Reserved {
-        /// The program.
+        /// The program that has the budget.
         program: ProgramKey,
-        /// The tokens; 0 if the budget does not hold one more turn.
+        /// The reserved tokens; 0 if the budget does not cover one more turn.
         tokens: u64,
     },
-    /// What is known of budgets after this VM and all others have lost their memory.
+    /// The budget records, read after all VMs lost their in-memory state.
     Losses {
-        /// How often that has happened within the retention of programs.
+        /// How often that happened within the retention time of programs.
         losses: u32,
-        /// The records of budgets.
+        /// The budget records in the store.
         records: Vec<BudgetRecord>,
     },
-    /// A request has had no usable answer.
+    /// A request failed or got no usable answer.
     Failed(SourcePart),
 }
 
-/// What a request to the platform's store was about.
+/// The kind of a request to the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SourcePart {
-    /// The published configuration.
+    /// Reads the published configuration.
     Config,
-    /// The list of upstreams.
+    /// Reads the upstream list.
     Upstreams,
-    /// The registration of this VM and the list of the others.
+    /// Registers this VM and lists the registered VMs.
     Vms,
-    /// Losses of memory, and the records of budgets.
+    /// Counts a memory loss and reads the budget records.
     Losses,
-    /// The budget of a program.
+    /// Reserves tokens of a program's budget.
     Budget(ProgramKey),
 }
 
-/// What another VM said.
+/// State received from another VM.
 #[derive(Debug, Clone)]
 pub enum PeerNews {
-    /// Its summary.
+    /// A summary that the VM sent.
     Summary(Box<Summary>),
-    /// Its state, as asked for.
+    /// The snapshot that this VM requested.
     Snapshot {
-        /// When this VM asked.
+        /// When it was requested, on this VM's clock.
         asked_us: u64,
-        /// The state.
+        /// The snapshot.
         snapshot: Box<Snapshot>,
     },
-    /// It did not answer a request for its state.
+    /// A requested snapshot did not arrive.
     NoSnapshot,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The core holds tables of entities (calls, programs, client accounts,
 //! upstreams, VMs) and the systems that run over them each tick. It has no
-//! I/O, no clock, no threads, no serialization and no randomness: time comes
-//! with each tick, and the same inputs give the same outputs.
+//! I/O, clock, threads, serialization or randomness: each tick is given the
+//! time, and the same inputs produce the same outputs.
 //!
 //! # Examples
 //!
--- a/crates/core/src/message/config.rs
+++ b/crates/core/src/message/config.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ConfigMessage {
-    /// Asks for a configuration newer than the sender's.
+    /// Requests a configuration newer than the sender's.
     ConfigRequest {
         /// The revision that the sender has in force.
         in_force: Revision,
     },
-    /// Carries a configuration.
+    /// Sends a configuration.
     ConfigIs(Arc<FleetConfig>),
 }
--- a/crates/core/src/message/homes.rs
+++ b/crates/core/src/message/homes.rs
@@ -15,48 +15,48 @@
 pub enum HomesMessage {
     /// Asks the home to let a turn begin, or to extend the validity of its start.
     Begin(Box<Begin>),
-    /// Lets a turn begin.
+    /// Allows a turn to begin.
     Began(Box<Began>),
-    /// Says that a call waits for its turn.
+    /// Confirms that a call is queued for its turn.
     Pending {
         /// The call.
         call: CallId,
     },
     /// Refuses a turn or a request.
     Denied(Denied),
-    /// Tells a resent turn that its response is kept.
+    /// Answers a resent turn whose response is stored on a VM.
     Kept {
         /// The resent call.
         call: CallId,
-        /// The VM that keeps the response.
+        /// The VM that stores the response.
         vm: VmName,
-        /// The call that ran.
+        /// The original call, which ran.
         original: CallId,
-        /// The state that the caller carries to the next turn.
+        /// The continuation for the next turn.
         continuation: Box<Continuation>,
-        /// The permit for a next turn that may not be repeated.
+        /// A permit for a non-idempotent next turn; `None` if the home issued none.
         permit: Option<Box<Permit>>,
     },
     /// Reports the end of a turn.
     Settle(Box<Settle>),
-    /// Confirms a `Settle` and carries the new state of the program.
+    /// Confirms a `Settle` and returns the new state of the program.
     Settled {
         /// The call.
         call: CallId,
-        /// The state that the caller carries to the next turn; absent if the turn did not run
-        /// or the program is gone.
+        /// The continuation for the next turn; `None` if the turn did not run or the program
+        /// has ended.
         continuation: Option<Box<Continuation>>,
-        /// The permit for a next turn that may not be repeated.
+        /// A permit for a non-idempotent next turn; `None` if the home issued none.
         permit: Option<Box<Permit>>,
     },
-    /// Asks the entry VM for the end of a turn that has been in progress for long.
+    /// Asks the entry VM whether a turn that has been in progress for a long time has ended.
     Probe {
         /// The call.
         call: CallId,
         /// The program.
         program: ProgramKey,
     },
-    /// Says that the entry VM does not know a call that the home has as a turn in progress.
+    /// Reports that the entry VM does not know a call that the home has recorded as running.
     Gone {
         /// The call.
         call: CallId,
@@ -65,9 +65,9 @@
         /// Whether the call may have run.
         ran: Execution,
     },
-    /// Asks for a permit.
+    /// Requests a permit.
     PermitRequest(Box<PermitRequest>),
-    /// Carries a permit.
+    /// Sends the requested permit.
     PermitIs {
         /// The request.
         request: CallId,
@@ -80,7 +80,7 @@
         request: CallId,
         /// The program.
         program: ProgramKey,
-        /// The generation that is ended; whichever exists if absent.
+        /// The generation to end; `None` for the current one.
         generation: Option<u64>,
     },
     /// Confirms the end of a program.
@@ -88,25 +88,25 @@
         /// The request.
         request: CallId,
     },
-    /// Carries what an entry VM knows of programs whose home moved.
+    /// Sends an entry VM's records of programs to their new home.
     Witness {
-        /// Identifies the message at its sender.
+        /// Identifies the message among those of its sender.
         transfer: u64,
         /// The epoch of the view that moved the programs.
         epoch: Epoch,
-        /// The programs.
+        /// The records, one per program.
         witnesses: Vec<Witness>,
     },
-    /// Carries programs from their old home to the new one.
+    /// Transfers programs from their old home to the new one.
     HandOver(Box<HandOver>),
     /// Confirms a `Witness` or a `HandOver`.
     Received {
-        /// The message that is confirmed.
+        /// The `transfer` of the confirmed message.
         transfer: u64,
     },
 }
 
-/// Asks the home to let a turn begin.
+/// Asks the home to let a turn begin, or to extend the validity of its start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Begin {
@@ -116,23 +116,23 @@
     pub sent_us: u64,
     /// The program.
     pub program: ProgramKey,
-    /// The turn, from 1.
+    /// The turn number, from 1.
     pub turn: u32,
-    /// The state that the caller carried.
+    /// The continuation that the caller sent; `None` if it sent none.
     pub continuation: Option<Continuation>,
-    /// The permit, for a call that may not be repeated.
+    /// The permit that the caller sent; a non-idempotent call needs one.
     pub permit: Option<Permit>,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// The highest number of tokens that the call can use.
+    /// The maximum number of tokens that the call can use.
     pub reserve_tokens: u64,
-    /// Identifies the content across resends.
+    /// The digest of the content, equal for all resends of it.
     pub digest: ContentDigest,
     /// The upstreams that can run the call.
     pub pool: PoolKey,
 }
 
-/// Lets a turn begin.
+/// Allows a turn to begin.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Began {
@@ -140,7 +140,7 @@
     pub call: CallId,
     /// The `sent_us` of the `Begin` that is answered.
     pub sent_us: u64,
-    /// How long from then the call may be dispatched.
+    /// How long after `sent_us` the call may be dispatched.
     pub valid_us: u64,
     /// The state of the program before the turn.
     pub state: Continuation,
@@ -150,13 +150,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Denied {
-    /// The call.
+    /// The call, or the request, that is refused.
     pub call: CallId,
-    /// Why.
+    /// Reason for the refusal.
     pub kind: RefusalKind,
     /// What is known about an earlier run of the turn.
     pub ran: Execution,
-    /// When a resend may succeed, if it may.
+    /// Time after which a resend may succeed; `None` to give no such hint.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -168,92 +168,92 @@
     pub call: CallId,
     /// The state of the program before the turn.
     pub state: Continuation,
-    /// What ran or might have run.
+    /// The turn that ran or may have run.
     pub turn: RunningTurn,
     /// Whether the call ran.
     pub ran: Execution,
-    /// Tokens that it used.
+    /// Tokens that the call used.
     pub used_tokens: u64,
-    /// The digest of the history including the response, if the response was complete.
+    /// The digest of the history including the response; `None` if the response was incomplete.
     pub history: Option<HistoryDigest>,
-    /// Upstreams that may hold memory of the program.
+    /// Upstreams that may hold cached memory of the program.
     pub upstreams: SmallVec<[UpstreamName; 4]>,
 }
 
-/// A turn in progress as its entry VM knows it.
+/// A turn in progress, as recorded by its entry VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct RunningTurn {
     /// The call that runs it.
     pub call: CallId,
-    /// The number of the turn.
+    /// The turn number.
     pub number: u32,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Tokens reserved for it.
+    /// Budget tokens reserved for the turn.
     pub reserve_tokens: u64,
-    /// Identifies the content across resends.
+    /// The digest of the content, equal for all resends of it.
     pub digest: ContentDigest,
     /// The upstreams that may run it.
     pub pool: PoolKey,
 }
 
-/// Asks for a permit.
+/// Requests a permit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct PermitRequest {
-    /// The request.
+    /// The request ID.
     pub request: CallId,
     /// The program.
     pub program: ProgramKey,
     /// The turn that the permit is for.
     pub turn: u32,
-    /// The state that the caller carried.
+    /// The continuation that the caller sent; `None` if it sent none.
     pub continuation: Option<Continuation>,
 }
 
-/// What an entry VM knows of a program that it served.
+/// An entry VM's record of a program that it served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Witness {
-    /// The state as the home last told it.
+    /// The last state that the home sent.
     pub state: Continuation,
-    /// Upstreams that may hold memory of the program.
+    /// Upstreams that may hold cached memory of the program.
     pub upstreams: SmallVec<[UpstreamName; 4]>,
-    /// Turns in progress at this entry VM.
+    /// Turns in progress on this entry VM.
     pub running: SmallVec<[RunningTurn; 1]>,
     /// Whether the caller ended the program through this entry VM.
     pub is_ended: bool,
-    /// Time since the state was learned.
+    /// Time since the entry VM received the state.
     pub idle_ms: u64,
 }
 
-/// Carries programs from their old home to the new one.
+/// Transfers programs from their old home to the new one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct HandOver {
-    /// Identifies the message at its sender.
+    /// Identifies the message among those of its sender.
     pub transfer: u64,
     /// The epoch of the view that moved the programs.
     pub epoch: Epoch,
-    /// The programs.
+    /// The transferred programs.
     pub programs: Vec<HandedProgram>,
-    /// Releases of engine memory that are not confirmed.
+    /// Releases of engine memory that no engine has confirmed yet.
     pub releases: Vec<Release>,
-    /// How many messages the sender hands over in this epoch to this receiver.
+    /// Number of hand-over messages from this sender to this receiver in this epoch.
     pub messages: u32,
-    /// How long the sender itself would still have had to wait for an earlier home.
+    /// How much longer the sender itself would have had to wait for an earlier home.
     pub wait_us: u64,
 }
 
-/// A program on its way from its old home to the new one.
+/// A program that moves from its old home to the new one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct HandedProgram {
     /// The program.
     pub key: ProgramKey,
-    /// Its row; times in it are on the clock of the sender.
+    /// Its table row, with times on the sender's clock.
     pub row: Program,
-    /// The time on the clock of the sender.
+    /// The sender's time when it sent the row, to convert the times in it.
     pub now_us: u64,
 }
--- a/crates/core/src/message/membership.rs
+++ b/crates/core/src/message/membership.rs
@@ -9,46 +9,46 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum MembershipMessage {
-    /// Says that the sender is alive.
+    /// Announces that the sender is alive.
     Heartbeat(Heartbeat),
-    /// Answers a heartbeat, and again when there is news for its sender.
+    /// Answers a heartbeat; sent again when there are updates for the heartbeat's sender.
     HeartbeatAnswer(HeartbeatAnswer),
-    /// Tells a writer that a member has been silent.
+    /// Reports to a writer that a member is silent.
     Suspect {
         /// The silent member.
         vm: VmName,
-        /// The start of its process that is silent.
+        /// The incarnation that is silent.
         incarnation: Incarnation,
     },
-    /// Asks a writer to add the sender to the view.
+    /// Asks a writer to add this member, the sender, to the view.
     Join(Box<Member>),
-    /// Asks for a view newer than the one that the sender knows.
+    /// Requests a view newer than the sender's.
     ViewRequest {
-        /// The epoch that the sender knows.
+        /// The epoch of the sender's view.
         known: Epoch,
     },
-    /// Carries a view.
+    /// Sends a whole view.
     ViewIs(Arc<View>),
-    /// Carries the changes from a view that the receiver knows.
+    /// Sends the changes since a view that the receiver knows.
     ViewChanges(Vec<ViewDelta>),
-    /// Says that the sender, no longer a member, has handed everything over and acts no more.
+    /// Announces that the sender, no longer a member, has handed over everything and stopped.
     Left {
         /// The epoch of the view that removed it.
         epoch: Epoch,
     },
 }
 
-/// Says that the sender is alive.
+/// Announces that the sender is alive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Heartbeat {
-    /// The round of heartbeats; answers repeat it.
+    /// Number of the heartbeat round; answers repeat it.
     pub round: u64,
-    /// The epoch that the sender knows.
+    /// The epoch of the sender's view.
     pub epoch: Epoch,
     /// The revision that the sender has in force.
     pub revision: Revision,
-    /// Whether the sender asks for its lease to be confirmed.
+    /// Whether the sender requests confirmation of its lease.
     pub asks: bool,
     /// Whether the sender is about to leave.
     pub leaving: bool,
@@ -56,19 +56,20 @@
 
 /// Answers a heartbeat.
 ///
-/// Ages count back from the moment at which the heartbeat arrived; a negative
-/// age is a moment after that.
+/// Ages are relative to the arrival of the heartbeat; a negative age means a
+/// later time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct HeartbeatAnswer {
-    /// The round of heartbeats that is answered.
+    /// The number of the answered heartbeat round.
     pub round: u64,
-    /// The epoch that the sender knows.
+    /// The epoch of the sender's view.
     pub epoch: Epoch,
     /// The revision that the sender has in force.
     pub revision: Revision,
-    /// Age of the sender's confirmation, if it has one.
+    /// Age of the sender's own lease confirmation; `None` if it has none.
     pub confirmed_age_us: Option<i64>,
-    /// Age of the promise of the sender, a writer, to write no view for the time of a lease.
+    /// Age of the sender's promise, as a writer, to write no view for the duration of a lease;
+    /// `None` if it made none.
     pub promise_age_us: Option<i64>,
 }
--- a/crates/core/src/message/mod.rs
+++ b/crates/core/src/message/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between VMs, one enum for each system that handles them.
+//! Messages between VMs, one enum per system.
 //!
 //! Every type in a message derives the serde traits under the feature `serde`.
 
@@ -25,14 +25,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, From)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum PeerMessage {
-    /// View, leases and failure suspicion.
+    /// About the view, leases and failure suspicion.
     Membership(MembershipMessage),
-    /// Shares of the rate of client accounts.
+    /// About shares of the rates of client accounts.
     Rates(RatesMessage),
-    /// Order, budget and permits of programs.
+    /// About turn order, budgets and permits of programs.
     Homes(HomesMessage),
-    /// Queues of pools.
+    /// About pool queues and placement.
     Placement(PlacementMessage),
-    /// Published configuration.
+    /// About the published configuration.
     Config(ConfigMessage),
 }
--- a/crates/core/src/message/placement.rs
+++ b/crates/core/src/message/placement.rs
@@ -11,31 +11,31 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum PlacementMessage {
-    /// Asks for an upstream.
+    /// Requests an upstream for an attempt.
     Place(Box<Place>),
-    /// Confirms that a call waits for an upstream.
+    /// Confirms that an attempt is queued for an upstream.
     Queued {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Names the upstream of an attempt.
+    /// Assigns an upstream to an attempt.
     Placed {
         /// The pool.
         pool: PoolKey,
         /// The attempt.
         attempt: AttemptId,
-        /// The upstream.
+        /// The chosen upstream.
         upstream: UpstreamName,
-        /// Why this upstream.
+        /// Reason for the choice.
         reason: PlacementReason,
         /// The next best upstreams.
         runners_up: SmallVec<[UpstreamName; 2]>,
     },
-    /// Says that the attempt gets no upstream.
+    /// Reports that the attempt gets no upstream.
     Unplaced {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Reason for the refusal.
         kind: RefusalKind,
     },
     /// Withdraws a request for an upstream.
@@ -56,26 +56,26 @@
     InFlight {
         /// The pool.
         pool: PoolKey,
-        /// The attempts.
+        /// The running attempts.
         attempts: Vec<InFlight>,
     },
-    /// Tells the entry VM of a call in how many crashes its content was seen.
+    /// Reports to the entry VM of a call during how many crashes its content was running.
     Suspected {
         /// The call.
         call: CallId,
         /// The number of crashes.
         crashes: u32,
     },
-    /// Forbids all VMs to run a content.
+    /// Tells all VMs to run a content no more.
     Quarantine {
-        /// The content.
+        /// The digest of the content.
         digest: ContentDigest,
-        /// For how long.
+        /// Duration of the quarantine.
         for_ms: u64,
     },
 }
 
-/// Asks for an upstream.
+/// Requests an upstream for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Place {
@@ -83,28 +83,28 @@
     pub pool: PoolKey,
     /// The attempt.
     pub attempt: AttemptId,
-    /// The account that is charged; absent on routes open to all.
+    /// The account to charge; `None` on routes that need no key.
     pub account: Option<AccountName>,
-    /// The program, if the call belongs to one.
+    /// The program; `None` if the call belongs to none.
     pub program: Option<ProgramKey>,
-    /// Tokens that the whole program had used before the call, as the caller's
-    /// continuation states them.
+    /// Tokens that the whole program had used before the call, according to the
+    /// caller's continuation.
     pub spent_tokens: u64,
-    /// Tokens of the prompt.
+    /// Estimated prompt tokens.
     pub prompt_tokens: u64,
-    /// Highest number of tokens of the response.
+    /// Maximum number of response tokens.
     pub max_tokens: u64,
-    /// Identifies the content across resends.
+    /// The digest of the content, equal for all resends of it.
     pub digest: ContentDigest,
-    /// Crashes in which the content was seen.
+    /// Crashes during which the content was running.
     pub crashes: u32,
     /// Upstreams on which the call has failed.
     pub avoid: SmallVec<[UpstreamName; 2]>,
-    /// The end of the attempt before this one, in case its own report is late.
+    /// The end of the previous attempt of the call, in case its own `Finish` arrives later.
     pub ended: Option<Finish>,
-    /// The rank of a call whose route has one; 0 goes first.
+    /// The priority of the route, 0 being the highest; `None` if the route has none.
     pub priority: Option<u32>,
-    /// The only upstream that may run the call, unless it has ended.
+    /// The only upstream that may run the call, unless it has ended; `None` if any may.
     pub only: Option<UpstreamName>,
 }
 
@@ -120,19 +120,19 @@
     pub upstream: UpstreamName,
     /// How it ended.
     pub result: AttemptResult,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt_tokens: u64,
     /// Prompt tokens that the upstream found in its cache.
     pub cached_tokens: u64,
-    /// Tokens of the response.
+    /// Response tokens.
     pub answer_tokens: u64,
-    /// Time from dispatch to the first token; 0 if there was none.
+    /// Time from dispatch to the first token; 0 if none arrived.
     pub first_token_us: u64,
-    /// Time from dispatch to the end.
+    /// Time from dispatch to the end of the attempt.
     pub total_us: u64,
 }
 
-/// How an attempt ended, as far as its upstream is concerned.
+/// How an attempt ended, for the health and load of its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum AttemptResult {
@@ -142,11 +142,11 @@
     NotConnected,
     /// The upstream failed or refused the request.
     Failed,
-    /// The upstream refused the request because it was full.
+    /// The upstream refused the request because it was at capacity.
     Full,
     /// The connection broke.
     Lost,
-    /// The caller left or the attempt was never sent.
+    /// The caller disconnected or the attempt was never sent.
     Unused,
 }
 
@@ -156,14 +156,14 @@
 pub struct InFlight {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The upstream.
+    /// The upstream that runs it.
     pub upstream: UpstreamName,
-    /// The account that is charged.
+    /// The account to charge; `None` on routes that need no key.
     pub account: Option<AccountName>,
-    /// The program.
+    /// The program; `None` if the call belongs to none.
     pub program: Option<ProgramKey>,
-    /// The content.
+    /// The digest of the content.
     pub digest: ContentDigest,
-    /// Crashes in which the content was seen.
+    /// Crashes during which the content was running.
     pub crashes: u32,
 }
--- a/crates/core/src/message/rates.rs
+++ b/crates/core/src/message/rates.rs
@@ -1,31 +1,31 @@
-//! Messages about shares of the rate of client accounts.
+//! Messages about shares of the rates of client accounts.
 
 use derive_more::Display;
 
 use crate::ids::{AccountName, Epoch, Incarnation};
 
-/// A share, unique over the fleet.
+/// Identifies a share of an account's rate within the fleet.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[display("{owner}/{number}")]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ShareId {
-    /// The start of the owner that lent the share first.
+    /// The incarnation of the owner that granted the share first.
     pub owner: Incarnation,
-    /// Counts the shares of that start.
+    /// Number of the share among those of that incarnation.
     pub number: u64,
 }
 
-/// A message about shares of the rate of client accounts.
+/// A message about shares of the rates of client accounts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum RatesMessage {
-    /// A holder to the owner of an account.
+    /// Sent by a holder to the owner of an account.
     Demand(Box<Demand>),
-    /// The owner of an account to a holder.
+    /// Sent by the owner of an account to a holder.
     Grant(Box<Grant>),
-    /// A new owner asks a member for what it holds or has owned.
+    /// Sent by a new owner to learn which shares a member holds and what it owned before.
     ShareQuery {
-        /// The epoch in which the sender became the owner.
+        /// The epoch in which the sender became owner.
         epoch: Epoch,
         /// The accounts that it took over.
         accounts: Vec<AccountName>,
@@ -34,7 +34,7 @@
     ShareReport {
         /// The epoch of the query.
         epoch: Epoch,
-        /// What the sender had not lent of accounts that it owned before.
+        /// What the sender had not granted of accounts that it owned before.
         unlent: Vec<Unlent>,
     },
 }
@@ -43,15 +43,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum DemandKind {
-    /// Asks for a grant.
+    /// Requests a grant.
     Ask,
-    /// Confirms a grant that made the share smaller; needs no answer.
+    /// Confirms a grant that reduced the share; needs no answer.
     Confirm,
-    /// Gives the share up; needs no answer.
+    /// Returns the share; needs no answer.
     Release,
 }
 
-/// What a holder tells the owner of an account.
+/// A holder's report and request to the owner of an account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Demand {
@@ -59,21 +59,21 @@
     pub kind: DemandKind,
     /// The account.
     pub account: AccountName,
-    /// The epoch that the sender knows.
+    /// The epoch of the sender's view.
     pub epoch: Epoch,
-    /// Counts the demands of the sender for the account.
+    /// Sequence number of the sender's demands for the account.
     pub seq: u64,
-    /// The sender ignores new shares that answer an earlier demand than this.
+    /// The sender ignores new shares granted in answer to demands with a lower `seq`.
     pub floor_seq: u64,
     /// When it was sent, on the sender's clock; the grant repeats it.
     pub sent_us: u64,
-    /// The rate that the sender could use.
+    /// The rate that the sender could use, in thousandths of a call per second.
     pub wanted_mcalls_per_s: u64,
-    /// Calls that wait at the sender.
+    /// Calls waiting on the sender.
     pub waiting_calls: u64,
-    /// Calls in the sender's bucket.
+    /// Level of the sender's token bucket, in billionths of a call.
     pub level_ncalls: u64,
-    /// The share that the sender holds.
+    /// The share that the sender holds; `None` if it holds none.
     pub held: Option<HeldShare>,
 }
 
@@ -83,24 +83,24 @@
 pub struct HeldShare {
     /// The share.
     pub id: ShareId,
-    /// The last grant that was applied; this confirms it.
+    /// Sequence number of the last applied grant, which this confirms.
     pub applied_seq: u64,
-    /// The rate of the share.
+    /// Rate of the share.
     pub rate_mcalls_per_s: u64,
-    /// The burst of the share.
+    /// Burst size of the share.
     pub burst_ncalls: u64,
-    /// All calls that were deposited with grants of the share.
+    /// Total calls deposited by grants of the share.
     pub received_ncalls: u64,
-    /// All calls that were given back from the share.
+    /// Total calls returned from the share.
     pub returned_ncalls: u64,
-    /// All calls that the owner has asked back, as far as answered.
+    /// Total calls recalled by the owner, as far as the holder has answered.
     pub recalled_ncalls: u64,
 }
 
 /// A grant of a share.
 ///
-/// The totals of calls let a holder recover what a lost grant carried, and
-/// keep a repeated grant from depositing anything twice.
+/// The calls are totals, so that a holder recovers the contents of a lost grant
+/// and deposits nothing twice for a repeated one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Grant {
@@ -108,40 +108,40 @@
     pub account: AccountName,
     /// The epoch of the owner.
     pub epoch: Epoch,
-    /// The start of the holder that the grant is for.
+    /// The incarnation of the holder.
     pub holder: Incarnation,
-    /// The demand that is answered.
+    /// The `seq` of the demand that is answered.
     pub answers_seq: u64,
     /// When that demand was sent, on the holder's clock.
     pub sent_us: u64,
-    /// How long the grant is valid from the time the demand was sent.
+    /// How long the grant is valid, counted from `sent_us`.
     pub valid_ms: u64,
     /// The share.
     pub id: ShareId,
-    /// Counts the grants of the share.
+    /// Sequence number of the grants of the share.
     pub seq: u64,
-    /// The rate of the share.
+    /// Rate of the share.
     pub rate_mcalls_per_s: u64,
-    /// The burst of the share.
+    /// Burst size of the share.
     pub burst_ncalls: u64,
-    /// All calls that moved to the holder with grants of the share.
+    /// Total calls moved to the holder by grants of the share.
     pub moved_ncalls: u64,
-    /// All calls that the owner asked back from the share.
+    /// Total calls that the owner recalled from the share.
     pub recalled_ncalls: u64,
-    /// Whether the owner still waits for the end of what an earlier owner lent.
+    /// Whether the owner still waits for the grants of an earlier owner to expire.
     pub is_taking_over: bool,
 }
 
-/// What a previous owner had not lent when it learned of its successor.
+/// What a previous owner had not granted when it learned of its successor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Unlent {
     /// The account.
     pub account: AccountName,
-    /// The rate.
+    /// Rate that was not granted.
     pub rate_mcalls_per_s: u64,
-    /// The burst.
+    /// Burst size that was not granted.
     pub burst_ncalls: u64,
-    /// The calls.
+    /// Calls in the bucket that were not granted, in billionths of a call.
     pub calls_ncalls: u64,
 }
--- a/crates/core/src/message/summary.rs
+++ b/crates/core/src/message/summary.rs
@@ -1,7 +1,8 @@
-//! What a VM tells the others about itself at short intervals.
+//! Summaries, in which VMs report their state to each other at short intervals.
 //!
-//! A summary may be lost, doubled or late: counts are totals since the start of the sender's
-//! process, and rows are repeated until the receiver has confirmed a summary that held them.
+//! A summary may be lost, duplicated or delayed, so counts are totals since the start of the
+//! sender's process, and rows are repeated until the receiver has acknowledged a summary that
+//! held them.
 
 use std::sync::Arc;
 
@@ -11,59 +12,61 @@
 };
 use crate::input::{RecordKeeper, UpstreamList};
 
-/// What a VM tells another one about itself.
+/// One VM's report of its state to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Summary {
     /// The sender.
     pub from: VmName,
-    /// The start of the sender's process.
+    /// The incarnation of the sender's process.
     pub incarnation: Incarnation,
-    /// The address at which the sender takes summaries, as `ip:port`.
+    /// The address at which the sender receives summaries, as `ip:port`.
     pub address: String,
-    /// Counts the summaries of the sender's process.
+    /// Number of the summary among those of the sender's process.
     pub round: u64,
-    /// The last summary of the receiver that has arrived at the sender.
+    /// Acknowledges the last summary that arrived from the receiver; `None` if none did.
     pub echo: Option<Echo>,
-    /// Whether the sender is about to end.
+    /// Whether the sender's process is about to end.
     pub is_leaving: bool,
-    /// Whether the sender knows all programs that have run within their retention.
+    /// Whether the sender knows all programs that ran within their retention time.
     pub knows_programs: bool,
     /// Whether the sender knows of VMs with a disk.
     pub knows_keepers: bool,
-    /// The revision in force at the sender.
+    /// The configuration revision in force on the sender.
     pub revision: Revision,
-    /// Age of the last read of the configuration that the sender knows of.
+    /// Age of the last read of the configuration that the sender knows of, by any VM; `None` if
+    /// it knows of none.
     pub config_age_us: Option<u64>,
-    /// The list of upstreams in force at the sender.
+    /// The version of the upstream list in force on the sender.
     pub list: ListStamp,
-    /// Age of the last read of the list that the sender knows of.
+    /// Age of the last read of the upstream list that the sender knows of, by any VM; `None` if
+    /// it knows of none.
     pub list_age_us: Option<u64>,
-    /// Calls of accounts that the sender has admitted, as totals.
+    /// Total calls that the sender has admitted, by account.
     pub admitted: Vec<(AccountName, u64)>,
-    /// Calls of the sender that run on upstreams; upstreams without any are left out.
+    /// Running calls of the sender, by upstream; upstreams without any are left out.
     pub running: Vec<(UpstreamName, u32)>,
-    /// Programs whose use has changed.
+    /// Programs whose usage has changed.
     pub programs: Vec<ProgramUse>,
-    /// Contents that ran in crashes of upstreams, with the number of crashes.
+    /// Contents that were running during upstream crashes, with the number of crashes.
     pub suspects: Vec<(ContentDigest, u32)>,
-    /// Contents that must not run, with the remaining time in milliseconds.
+    /// Quarantined contents, with the remaining time in milliseconds.
     pub quarantined: Vec<(ContentDigest, u64)>,
-    /// Other VMs with their addresses, for a receiver that has just started.
+    /// Names and addresses of other VMs, for a receiver that has just started.
     pub others: Vec<(VmName, String)>,
 }
 
-/// Names a summary of the receiver.
+/// Acknowledges a summary of the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Echo {
-    /// The start of the receiver's process.
+    /// The incarnation of the receiver's process.
     pub incarnation: Incarnation,
-    /// The number of the summary.
+    /// The `round` of the acknowledged summary.
     pub round: u64,
 }
 
-/// Tells lists of upstreams apart.
+/// Identifies a version of the upstream list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ListStamp {
@@ -79,53 +82,56 @@
 pub struct ProgramUse {
     /// The program.
     pub program: ProgramKey,
-    /// The line of turns that the program began with.
+    /// The first sequence of turns of the program, which is not that of a sub-agent; `None` if
+    /// unknown.
     pub main_line: Option<u64>,
-    /// Tokens that the sender has passed to callers, as a total.
+    /// Total tokens that the sender has forwarded to callers.
     pub tokens: u64,
-    /// Whether the budget is used up.
+    /// Whether the program's budget is used up.
     pub is_stopped: bool,
     /// Whether the program has a record in the store.
     pub has_record: bool,
-    /// The engine that ran the last turn at the sender, and the tokens it may have cached.
+    /// The engine that ran the sender's last turn of the program, and the tokens that it may have
+    /// cached.
     pub cached: Option<(UpstreamName, u64)>,
 }
 
-/// The state of a VM, for one that lacks a part of it.
+/// The state of a VM, sent to a VM that lacks part of it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Snapshot {
-    /// The configuration in force.
+    /// The configuration in force; `None` if there is none yet.
     pub fleet: Option<Arc<FleetConfig>>,
-    /// Age of the last read of the configuration.
+    /// Age of the last read of the configuration; `None` if there was none.
     pub config_age_us: Option<u64>,
-    /// The list of upstreams in force.
+    /// The upstream list in force.
     pub list: Arc<UpstreamList>,
-    /// Age of the last read of the list.
+    /// Age of the last read of the upstream list; `None` if there was none.
     pub list_age_us: Option<u64>,
-    /// Programs that have run within their retention.
+    /// Programs that ran within their retention time.
     pub programs: Vec<ProgramSpent>,
-    /// Losses of memory since which `programs` is complete; `None` if it is not.
+    /// Counted memory losses since which `programs` is complete; `None` if it is incomplete.
     pub losses: Option<u32>,
     /// VMs with a disk.
     pub keepers: Arc<Vec<RecordKeeper>>,
 }
 
-/// What all VMs have used of a program's budget.
+/// What all VMs together have used of a program's budget.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ProgramSpent {
     /// The program.
     pub program: ProgramKey,
-    /// Its budget.
+    /// Its whole token budget.
     pub budget_tokens: u64,
-    /// The line of turns that it began with.
+    /// The first sequence of turns of the program, which is not that of a sub-agent; `None` if
+    /// unknown.
     pub main_line: Option<u64>,
-    /// Losses of memory since which it is known.
+    /// Counted memory losses when the program was first seen; usage before them is unknown.
     pub losses: u32,
-    /// Tokens passed to callers by each process.
+    /// Total tokens forwarded to callers, by VM and incarnation.
     pub spent: Vec<(VmName, Incarnation, u64)>,
-    /// Whether the budget is used up.
+    /// Whether the program's budget is used up.
     pub is_stopped: bool,
     /// Whether the program has a record in the store.
     pub has_record: bool,
--- a/crates/core/src/output/charge.rs
+++ b/crates/core/src/output/charge.rs
@@ -2,21 +2,21 @@
 
 use crate::ids::{AccountName, AttemptId, ProgramKey, UpstreamName};
 
-/// The record of one call that ran, or may have run.
+/// A charge record for one call that ran or may have run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Charge {
-    /// The last attempt that ran or may have run; its call identifies the charge.
+    /// The last attempt that ran or may have run; its call ID identifies the charge.
     pub attempt: AttemptId,
-    /// The account that is charged; absent on routes open to all.
+    /// The client account to charge; `None` on routes that need no key.
     pub account: Option<AccountName>,
-    /// The program and turn, if the call belonged to one.
+    /// The program and turn number; `None` if the call belonged to no program.
     pub program: Option<(ProgramKey, u32)>,
-    /// The upstream that ran it.
+    /// The upstream that ran the attempt.
     pub upstream: UpstreamName,
-    /// Tokens of the prompt.
+    /// Prompt tokens to charge.
     pub prompt_tokens: u64,
-    /// Tokens of the response.
+    /// Response tokens to charge.
     pub answer_tokens: u64,
     /// How the attempt ended.
     pub outcome: ChargeOutcome,
@@ -26,25 +26,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ChargeOutcome {
-    /// The response was complete.
+    /// The upstream delivered the complete response.
     Complete,
-    /// The caller left; the tokens so far are charged.
+    /// The caller disconnected; the tokens generated so far are charged.
     Abandoned,
-    /// The upstream failed after a part of the response reached the caller.
+    /// The upstream failed after part of the response had reached the caller.
     Interrupted,
-    /// The upstream accepted the request and answered with an error of its own.
+    /// The upstream accepted the request and returned an error.
     Failed,
-    /// The answer was lost; only the upstream knows whether the request ran.
+    /// The response was lost, so this VM does not know whether the request ran.
     Unknown,
 }
 
 impl ChargeOutcome {
-    /// Returns whether the request certainly ran; other records are not billed.
+    /// Returns whether the request certainly ran. Records of other requests are not billed.
     pub fn is_certain(self) -> bool {
         self != Self::Unknown
     }
 
-    /// Returns the name of the outcome in records.
+    /// Returns the outcome's name in charge records.
     pub fn label(self) -> &'static str {
         match self {
             Self::Complete => "complete",
--- a/crates/core/src/output/decision.rs
+++ b/crates/core/src/output/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions for the log, one short sentence each.
+//! Decisions of the core, each logged as one line.
 
 use derive_more::Display;
 use smallvec::SmallVec;
@@ -13,9 +13,9 @@
 };
 use crate::tables::{Coverage, LimitReason};
 
-/// A routing or placement decision.
+/// A decision of the core.
 ///
-/// `Display` gives the log line with the prefix of its part.
+/// `Display` formats the log line, prefixed with the name of the part that decided.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum Decision {
     /// A call was refused.
@@ -23,108 +23,110 @@
     Refused {
         /// The call.
         call: CallId,
-        /// Why.
+        /// Reason for the refusal.
         kind: RefusalKind,
-        /// Whether it ran.
+        /// Whether the call ran.
         ran: Execution,
     },
-    /// A call was admitted within its account's rate.
+    /// A call was admitted under its account's rate limit.
     #[display("rates: admitted call {call} of {account} after {waited_us} us")]
     Admitted {
         /// The call.
         call: CallId,
-        /// The account.
+        /// The account whose rate limit applies.
         account: AccountName,
-        /// How long it waited.
+        /// Time that the call waited for admission.
         waited_us: u64,
     },
-    /// A call had no room in its account's rate within the time that it may wait.
+    /// The account's rate limit did not admit a call within its maximum waiting time.
     #[display(
         "rates: no room for call {call} of {account}, level {level_mcalls} and debt {debt_mcalls} of a burst of {burst_mcalls} thousandths of a call, rate {rate_mcalls_per_s} a second"
     )]
     NoRoom {
         /// The call.
         call: CallId,
-        /// The account.
+        /// The account whose rate limit applies.
         account: AccountName,
-        /// What this VM's bucket holds.
+        /// Level of this VM's token bucket, in thousandths of a call.
         level_mcalls: u64,
-        /// What was taken beyond it.
+        /// Calls taken beyond the level, in thousandths of a call.
         debt_mcalls: u64,
-        /// What it can hold.
+        /// Capacity of the bucket, in thousandths of a call.
         burst_mcalls: u64,
-        /// How fast it fills.
+        /// Fill rate of the bucket, in thousandths of a call per second.
         rate_mcalls_per_s: u64,
     },
-    /// The home let a turn begin.
+    /// The home of a program allowed a turn to begin.
     #[display(
         "homes: turn {turn} of {program} begins for call {call}, {reserved_tokens} tokens reserved"
     )]
     TurnBegan {
         /// The program.
         program: ProgramKey,
-        /// The turn.
+        /// The turn number.
         turn: u32,
-        /// The call.
+        /// The call that runs the turn.
         call: CallId,
-        /// Tokens reserved for it.
+        /// Budget tokens reserved for the turn.
         reserved_tokens: u64,
     },
-    /// The home refused a turn.
+    /// The home of a program refused a turn.
     #[display("homes: denied turn {turn} of {program} to call {call} as {kind}, {ran}")]
     TurnDenied {
         /// The program.
         program: ProgramKey,
-        /// The turn.
+        /// The turn number.
         turn: u32,
-        /// The call.
+        /// The call that asked for the turn.
         call: CallId,
-        /// Why.
+        /// Reason for the refusal.
         kind: RefusalKind,
         /// What is known about an earlier run of the turn.
         ran: Execution,
     },
-    /// The outcome of a turn will not become known.
-    #[display("homes: outcome of turn {turn} of {program} unknown, its entry VM {vm} is gone")]
+    /// The outcome of a turn stays unknown, since its entry VM is no longer a member.
+    #[display(
+        "homes: outcome of turn {turn} of {program} unknown, its entry VM {vm} is no longer a member"
+    )]
     TurnUnknown {
         /// The program.
         program: ProgramKey,
-        /// The turn.
+        /// The turn number.
         turn: u32,
-        /// The entry VM.
+        /// The entry VM of the turn.
         vm: VmName,
     },
-    /// This VM took over a program from its witnesses or from the continuation of its caller.
+    /// This VM became the home of a program and recovered its state.
     #[display("homes: took over {program} at turn {turn} from {source}")]
     ProgramTakenOver {
         /// The program.
         program: ProgramKey,
         /// The last finished turn.
         turn: u32,
-        /// What the state was taken from.
+        /// Where the state was recovered from.
         source: TakeoverSource,
     },
-    /// A program is over.
-    #[display("homes: {program} generation {generation} is over, {reason}")]
+    /// A program was closed.
+    #[display("homes: {program} generation {generation} closed, {reason}")]
     ProgramOver {
         /// The program.
         program: ProgramKey,
-        /// Its generation.
+        /// The generation that was closed.
         generation: u64,
-        /// Why.
+        /// Reason for closing it.
         reason: OverReason,
     },
-    /// Engine memory of a program is released.
-    #[display("homes: release memory of {program} generation {generation} at {upstream}")]
+    /// The home started to release a program's memory on an engine.
+    #[display("homes: releasing memory of {program} generation {generation} at {upstream}")]
     MemoryReleased {
         /// The program.
         program: ProgramKey,
-        /// Its generation.
+        /// The generation whose memory is released.
         generation: u64,
-        /// The engine.
+        /// The engine that holds the memory.
         upstream: UpstreamName,
     },
-    /// A call was sent to an upstream.
+    /// An upstream was chosen for an attempt.
     #[display(
         "placement: attempt {attempt} of {} for {} to {upstream}, {reason}{}",
         program.as_ref().map_or_else(|| "no program".to_owned(), ToString::to_string),
@@ -134,112 +136,114 @@
     Placed {
         /// The attempt.
         attempt: AttemptId,
-        /// The program.
+        /// The program; `None` if the call belongs to none.
         program: Option<ProgramKey>,
-        /// The account.
+        /// The account to charge; `None` on routes that need no key.
         account: Option<AccountName>,
-        /// The upstream.
+        /// The chosen upstream.
         upstream: UpstreamName,
-        /// Why this upstream.
+        /// Reason for the choice.
         reason: PlacementReason,
         /// The next best upstreams.
         runners_up: SmallVec<[UpstreamName; 2]>,
     },
-    /// A call is tried again.
+    /// A failed call is retried.
     #[display("retry: call {call} again after {upstream} failed, {reason}")]
     Retry {
         /// The call.
         call: CallId,
         /// The upstream that failed.
         upstream: UpstreamName,
-        /// Why it may be tried again.
+        /// Why it may be retried.
         reason: RetryReason,
     },
-    /// A failed call is not tried again.
+    /// A failed call is not retried.
     #[display("retry: call {call} ends after {upstream} failed, {reason}")]
     NoRetry {
         /// The call.
         call: CallId,
         /// The upstream that failed.
         upstream: UpstreamName,
-        /// Why it is not tried again.
+        /// Why it is not retried.
         reason: RetryReason,
     },
     /// An upstream crashed.
     #[display("retry: {upstream} crashed with {suspects} contents running, {evidence}")]
     Crashed {
-        /// The upstream.
+        /// The upstream that crashed.
         upstream: UpstreamName,
-        /// Contents that were running.
+        /// Number of contents that were running at the time.
         suspects: usize,
-        /// Why this is taken for a crash.
+        /// Why this counts as a crash.
         evidence: CrashEvidence,
     },
     /// A connection broke although the upstream did not crash.
     #[display("retry: connection to {upstream} broke, {evidence}")]
     ConnectionBroke {
-        /// The upstream.
+        /// The upstream at the other end.
         upstream: UpstreamName,
-        /// Why this is not taken for a crash.
+        /// Why this does not count as a crash.
         evidence: CrashEvidence,
     },
-    /// A content is not run any more.
+    /// A content was quarantined: no VM runs it for a time.
     #[display("retry: content {digest} quarantined for {for_ms} ms after {crashes} crashes")]
     Quarantined {
-        /// The content.
+        /// The digest of the content.
         digest: ContentDigest,
-        /// For how long.
+        /// Duration of the quarantine.
         for_ms: u64,
-        /// Crashes in which it was seen.
+        /// Crashes during which the content was running.
         crashes: u32,
     },
-    /// An upstream gets no calls for a time.
+    /// An upstream was ejected from its pool: it gets no calls for a time.
     #[display("retry: {upstream} ejected for {for_ms} ms after {failures} failures in a row")]
     Ejected {
-        /// The upstream.
+        /// The ejected upstream.
         upstream: UpstreamName,
-        /// For how long.
+        /// Duration of the ejection.
         for_ms: u64,
-        /// Failures in a row.
+        /// Consecutive failures that led to it.
         failures: u32,
     },
-    /// An upstream fails but is kept, because half of its pool is ejected.
-    #[display("retry: {upstream} kept after {failures} failures in a row, half of the pool is out")]
+    /// A failing upstream was not ejected, because half of its pool is ejected already.
+    #[display(
+        "retry: {upstream} not ejected after {failures} failures in a row, half of the pool is ejected"
+    )]
     NotEjected {
-        /// The upstream.
+        /// The failing upstream.
         upstream: UpstreamName,
-        /// Failures in a row.
+        /// Its consecutive failures.
         failures: u32,
     },
-    /// The limit of calls on an upstream changed.
+    /// The concurrency limit of an upstream changed.
     #[display("placement: limit of {upstream} from {from_calls} to {to_calls}, {reason}")]
     LimitChanged {
-        /// The upstream.
+        /// The upstream that has the limit.
         upstream: UpstreamName,
-        /// The limit before.
+        /// The previous limit.
         from_calls: u32,
-        /// The limit now.
+        /// The new limit.
         to_calls: u32,
-        /// Why.
+        /// Reason for the change.
         reason: LimitReason,
     },
-    /// A view came into force.
+    /// A view took effect.
     #[display("membership: view {epoch} with {members} members")]
     ViewChanged {
-        /// The epoch.
+        /// The epoch of the view.
         epoch: Epoch,
         /// The number of members.
         members: usize,
     },
-    /// A view was ignored since a newer one is known.
+    /// A view was ignored because a newer one is in force.
     #[display("membership: ignored view {offered}, {in_force} is in force")]
     ViewIgnored {
-        /// The epoch that was offered.
+        /// The epoch of the ignored view.
         offered: Epoch,
-        /// The epoch in force.
+        /// The epoch of the view in force.
         in_force: Epoch,
     },
-    /// A member was reported to be silent.
+    /// A member was reported as silent.
     #[display("membership: {vm} is silent, says {by}")]
     Suspected {
         /// The silent member.
@@ -247,130 +251,130 @@
         /// The member that reported it first.
         by: VmName,
     },
-    /// A message of a former start of a VM was ignored.
+    /// A message from a previous incarnation of a VM was ignored.
     #[display("membership: ignored a message of {vm} from before its restart")]
     FormerStart {
-        /// The VM.
+        /// The sender of the message.
         vm: VmName,
     },
-    /// The store does not answer.
+    /// The store stopped answering requests for the view.
     #[display("membership: the store does not answer")]
     StoreSilent,
-    /// The store answers again.
+    /// The store answers requests for the view again.
     #[display("membership: the store answers again")]
     StoreAnswers,
-    /// This VM, a writer, promised to write no view for the time of a lease.
+    /// This VM, a writer, promised to write no view for the duration of a lease.
     #[display("membership: promised to write no view while the store does not answer")]
     PromiseMade,
-    /// This VM is no longer a member and acts no more.
+    /// This VM is no longer a member and has stopped acting for the fleet.
     #[display("membership: left the fleet at view {epoch}")]
     Left {
         /// The epoch of the view without this VM.
         epoch: Epoch,
     },
-    /// An upstream was given an order.
+    /// An order was sent to an upstream.
     #[display("orders: {action} on {upstream}, token {token}")]
     Ordered {
-        /// The upstream.
+        /// The receiver of the order.
         upstream: UpstreamName,
-        /// The fencing token.
+        /// The fencing token of the order.
         token: FencingToken,
-        /// What it has to do.
+        /// The requested action.
         action: OrderAction,
     },
-    /// An upstream refused an order, since a later owner has given one.
+    /// An upstream rejected an order because it has accepted a higher fencing token.
     #[display("orders: {upstream} refused token {token} as stale")]
     OrderStale {
-        /// The upstream.
+        /// The upstream that rejected it.
         upstream: UpstreamName,
-        /// The fencing token.
+        /// The fencing token of the rejected order.
         token: FencingToken,
     },
-    /// A configuration came into force.
+    /// A configuration took effect.
     #[display("config: revision {revision} in force")]
     ConfigInForce {
-        /// The revision.
+        /// The revision of the configuration.
         revision: Revision,
     },
-    /// Another VM was heard for the first time, or again.
-    #[display("peers: {vm} is heard, start {incarnation}")]
+    /// Another VM became reachable, for the first time or again.
+    #[display("peers: {vm} is reachable, incarnation {incarnation}")]
     PeerHeard {
-        /// The VM.
+        /// The other VM.
         vm: VmName,
-        /// The start of its process.
+        /// The incarnation of its process.
         incarnation: Incarnation,
     },
-    /// Another VM is not heard any more.
+    /// Another VM has sent nothing for too long and counts as unreachable.
     #[display("peers: {vm} silent for {silent_ms} ms")]
     PeerSilent {
-        /// The VM.
+        /// The unreachable VM.
         vm: VmName,
-        /// For how long.
+        /// Time since its last message.
         silent_ms: u64,
     },
-    /// A silent VM no longer counts as one that may serve.
-    #[display("peers: {vm} forgotten")]
+    /// The record of an unreachable VM expired; the VM no longer counts as one that may serve.
+    #[display("peers: {vm} expired")]
     PeerForgotten {
-        /// The VM.
+        /// The VM whose record expired.
         vm: VmName,
     },
-    /// The part of the accounts' rates that the heard VMs use changed.
+    /// The number of VMs that share the accounts' rates changed.
     #[display("peers: {heard_vms} of {known_vms} VMs share the rates")]
     GroupChanged {
-        /// VMs that are heard, this one included.
+        /// Reachable VMs, including this one.
         heard_vms: u64,
-        /// VMs that may serve.
+        /// VMs that may serve, reachable or not.
         known_vms: u64,
     },
-    /// The use of all programs was learned from another VM or from the store.
+    /// The usage of all programs was learned from another VM or from the store.
     #[display("budgets: learned the use of {programs} programs, memory lost {losses} times")]
     ProgramsKnown {
-        /// Losses of the memory of all VMs within the retention of programs.
+        /// How often all VMs lost their memory within the retention time of programs.
         losses: u32,
-        /// The number of programs.
+        /// Number of programs whose usage is known.
         programs: usize,
     },
-    /// A turn is covered by its program's budget.
+    /// A program's budget covers a turn, which may run.
     #[display(
         "budgets: call {call} of {program} covered {cover:?}, {known_tokens} of {budget_tokens} tokens known to be used"
     )]
     TurnCovered {
-        /// The call.
+        /// The call that runs the turn.
         call: CallId,
-        /// The program.
+        /// The program that has the budget.
         program: ProgramKey,
-        /// Tokens known to be used, those of running turns included.
+        /// Tokens known to be used, including those of running turns.
         known_tokens: u64,
-        /// The budget.
+        /// The whole budget of the program.
         budget_tokens: u64,
-        /// What covers it.
+        /// What covers the turn.
         cover: Coverage,
     },
-    /// A turn is not covered by its program's budget.
+    /// A program's budget does not cover a turn.
     #[display(
         "budgets: call {call} of {program} not covered, {known_tokens} of {budget_tokens} tokens known to be used"
     )]
     TurnUncovered {
-        /// The call.
+        /// The call that asked for the turn.
         call: CallId,
-        /// The program.
+        /// The program that has the budget.
         program: ProgramKey,
-        /// Tokens known to be used, those of running turns included.
+        /// Tokens known to be used, including those of running turns.
         known_tokens: u64,
-        /// The budget.
+        /// The whole budget of the program.
         budget_tokens: u64,
     },
-    /// The store answered a reservation of tokens, or did not.
+    /// A request to reserve budget tokens in the store was answered or failed.
     #[display(
         "budgets: {program} reserves {}, {reserved_tokens} tokens held",
         tokens.map_or_else(|| "without an answer".to_owned(), |tokens| format!("{tokens} tokens"))
     )]
     BudgetReserved {
-        /// The program.
+        /// The program that has the budget.
         program: ProgramKey,
-        /// The tokens; `None` if the store did not answer.
+        /// Tokens reserved by this request; `None` if the store did not answer.
         tokens: Option<u64>,
-        /// Tokens that this VM holds and no turn has taken.
+        /// Reserved tokens on this VM that no turn has taken yet.
         reserved_tokens: u64,
     },
     /// A program has used up its budget.
@@ -382,35 +386,35 @@
         program: ProgramKey,
         /// Tokens known to be used.
         known_tokens: u64,
-        /// The budget.
+        /// The whole budget of the program.
         budget_tokens: u64,
     },
-    /// The store does not answer this VM.
+    /// The store stopped answering this VM's reads of configuration and upstreams.
     #[display(
         "source: the store does not answer, configuration read {} ago",
         config_age_ms.map_or_else(|| "never".to_owned(), |ms| format!("{ms} ms"))
     )]
     SourceLost {
-        /// Age of the last read of the configuration.
+        /// Age of the last read of the configuration; `None` if there was none.
         config_age_ms: Option<u64>,
     },
-    /// The store answers this VM again.
+    /// The store answers this VM's reads again.
     #[display("source: the store answers again")]
     SourceBack,
-    /// A list of upstreams came into force.
+    /// A list of upstreams took effect.
     #[display("config: list {revision} in force with {upstreams} upstreams, {leaving} leaving")]
     ListInForce {
         /// The revision of the list.
         revision: u64,
-        /// Upstreams in it.
+        /// Number of upstreams in the list.
         upstreams: usize,
-        /// Upstreams that are leaving.
+        /// Number of those upstreams that are leaving.
         leaving: usize,
     },
-    /// A configuration was ignored.
+    /// A configuration was ignored because a newer one is in force.
     #[display("config: ignored revision {offered}, {in_force} is in force")]
     ConfigIgnored {
-        /// The revision that was offered.
+        /// The revision of the ignored configuration.
         offered: Revision,
         /// The revision in force.
         in_force: Revision,
--- a/crates/core/src/output/mod.rs
+++ b/crates/core/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! Typed outputs of the core.
+//! Outputs of the core: what the process around it has to do.
 
 mod charge;
 mod decision;
@@ -22,152 +22,152 @@
 use crate::message::{PeerMessage, Summary};
 use crate::tables::View;
 
-/// An output of the core.
+/// An output of the core, to be executed by the process around it.
 #[derive(Debug, Clone)]
 pub enum Output {
     /// Run an attempt on an upstream.
     Dispatch(Dispatch),
     /// Stop an attempt and discard its response.
     CancelAttempt(AttemptId),
-    /// Close a call that ran.
+    /// Finish a call that ran.
     Answered(Box<Answered>),
     /// Refuse a call.
     Refused(Refusal),
-    /// Answer a resent call with the response kept for an earlier one.
+    /// Answer a resent call with the stored response of the original call.
     Replay {
         /// The resent call.
         call: CallId,
-        /// The VM that keeps the response.
+        /// The VM that stores the response.
         vm: VmName,
-        /// The call that ran.
+        /// The original call, which ran.
         original: CallId,
-        /// The state that the caller carries to the next turn, in place of that of the response.
+        /// The continuation for the next turn, which replaces that of the stored response.
         ///
-        /// The kept response has none if the home did not confirm the turn in time.
+        /// The stored response has none if the home did not confirm the turn in time.
         continuation: Box<Continuation>,
-        /// The permit for a next turn that may not be repeated.
+        /// A permit for a non-idempotent next turn; `None` if the home issued none.
         permit: Option<Box<Permit>>,
     },
     /// Answer a request for a permit.
     PermitIssued {
-        /// The request.
+        /// The request that is answered.
         request: CallId,
-        /// The permit.
+        /// The issued permit.
         permit: Box<Permit>,
     },
     /// Answer a request to end a program.
     ProgramEnded {
-        /// The request.
+        /// The request that is answered.
         request: CallId,
     },
     /// Send a message to another VM.
     Send {
-        /// The receiver.
+        /// The receiving VM.
         to: VmName,
-        /// The message.
+        /// The message to send.
         message: PeerMessage,
     },
-    /// Ask the store for something.
+    /// Read or write the view in the store; answered by `Input::Store`.
     Store(StoreRequest),
-    /// Ask the store about configuration, upstreams, VMs or budgets.
+    /// Ask the store about configuration, upstreams, VMs or budgets; answered by `Input::Source`.
     Source(SourceRequest),
     /// Send a summary to another VM.
     SendSummary {
         /// The receiver's address as `ip:port`.
         address: Arc<str>,
-        /// The summary.
+        /// The summary to send.
         summary: Box<Summary>,
     },
-    /// Ask another VM for its state and answer with `PeerNews`.
+    /// Request another VM's snapshot and answer with `PeerNews`.
     AskSnapshot {
         /// The receiver's address as `ip:port`.
         address: Arc<str>,
-        /// Whether the programs that it knows are needed as well.
+        /// Whether to include the programs that it knows.
         with_programs: bool,
     },
-    /// Release the engine memory of a program.
+    /// Release the memory of a program on an engine; answered by `Input::ReleaseConfirmed`.
     ReleaseMemory {
-        /// The engine.
+        /// The engine that holds the memory.
         upstream: UpstreamName,
         /// The program.
         program: ProgramKey,
-        /// The generation of the program that is released.
+        /// The generation whose memory is released.
         generation: u64,
     },
     /// Connect to an upstream after a connection to it broke, and answer with
-    /// `Input::Probed`. The probe asks for the load, which shows a restart.
+    /// `Input::Probed`. The probe requests the load report, which reveals a restart.
     Probe(UpstreamName),
     /// Send an order to an upstream and answer with `Input::OrderResult`.
     Order(Box<Order>),
-    /// Keep a charge record.
+    /// Store a charge record.
     Charge(Charge),
     /// Log a decision.
     Decision(Decision),
 }
 
-/// The order to run an attempt.
+/// An attempt to run on an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The upstream.
+    /// The upstream that runs it.
     pub upstream: UpstreamName,
     /// The upstream's address as `ip:port`.
     pub address: Arc<str>,
-    /// Time after which the attempt must not start, on this VM's clock.
+    /// Deadline for starting the attempt, on this VM's clock.
     pub valid_until_us: u64,
-    /// Longest wait for the first byte or token.
+    /// Timeout for the first byte or token.
     pub first_token_ms: u64,
-    /// Longest pause within the response.
+    /// Timeout between two parts of the response.
     pub token_gap_ms: u64,
-    /// The account that is charged; absent on routes open to all.
+    /// The account to charge; `None` on routes that need no key.
     pub account: Option<AccountName>,
-    /// The program and its generation, which the engine keeps its cache under.
+    /// The program and its generation, under which the engine caches; `None` without a program.
     pub program: Option<(ProgramKey, u64)>,
-    /// When the response has to begin, on this VM's clock; one that is no stream has to be
-    /// complete by then.
+    /// Deadline for the start of a streamed response and for the end of any other, on this VM's
+    /// clock.
     pub deadline_us: u64,
-    /// When a stream that has begun has to end, on this VM's clock.
+    /// Deadline for the end of a stream that has started, on this VM's clock.
     pub stream_deadline_us: u64,
-    /// Whether the response is a stream of events, and the tokens in each of them.
+    /// How the response is streamed; `None` if it is not a stream of events.
     pub events: Option<EventForm>,
 }
 
-/// What is known of the events of a streamed response.
+/// Properties of a response that is streamed as events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventForm {
-    /// Tokens in one event.
+    /// Tokens in each event.
     pub tokens_per_event: u64,
-    /// Whether a broken stream may go on after its last event.
+    /// Whether an interrupted stream can be resumed after its last event.
     pub is_resumable: bool,
 }
 
-/// The end of a call that ran.
+/// What the caller of a finished call needs for its next turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answered {
-    /// The call.
+    /// The finished call.
     pub call: CallId,
-    /// The state that the caller carries to the next turn.
+    /// The continuation for the next turn; `None` if no home confirmed one.
     pub continuation: Option<Continuation>,
-    /// The permit for a next turn that may not be repeated.
+    /// A permit for a non-idempotent next turn; `None` if the home issued none.
     pub permit: Option<Permit>,
 }
 
-/// A request to the platform's object API.
+/// A request to the platform's object API about the view object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreRequest {
     /// Read the view object.
     Read,
-    /// Write the next view if the object still has this version; 0 if it must not exist.
+    /// Write the next view if the object still has the expected version.
     Write {
-        /// The new view.
+        /// The view to write.
         view: View,
-        /// The version that the object must have.
+        /// The version that the object must have; 0 if it must not exist.
         expected_version: u64,
     },
-    /// Write the present view unchanged if the object still has this version.
+    /// Rewrite the current view unchanged if the object still has the expected version.
     Touch {
-        /// The present view.
+        /// The current view.
         view: View,
         /// The version that the object must have.
         expected_version: u64,
--- a/crates/core/src/output/order.rs
+++ b/crates/core/src/output/order.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams.
+//! Orders to upstreams to load or unload models.
 
 use std::sync::Arc;
 
@@ -6,22 +6,22 @@
 
 use crate::ids::{FencingToken, ModelName, UpstreamName};
 
-/// An order to an upstream.
+/// An order to load or unload a model on an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// The upstream.
+    /// The upstream that receives the order.
     pub upstream: UpstreamName,
     /// The upstream's address as `ip:port`.
     pub address: Arc<str>,
-    /// Lets the upstream refuse orders of an earlier owner.
+    /// Lets the upstream reject orders from an earlier owner.
     pub token: FencingToken,
-    /// Time after which the order must not be sent, on this VM's clock.
+    /// Deadline for sending the order, on this VM's clock.
     pub valid_until_us: u64,
     /// What the upstream has to do.
     pub action: OrderAction,
 }
 
-/// What an upstream has to do.
+/// The action that an order requests.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum OrderAction {
     /// Load a model.
--- a/crates/core/src/output/reason.rs
+++ b/crates/core/src/output/reason.rs
@@ -1,37 +1,37 @@
-//! Why something was decided.
+//! Reasons for decisions, as logged and reported in metrics.
 
 use derive_more::Display;
 
-/// What a home took the state of a program from.
+/// Where a new home recovered the state of a program from.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum TakeoverSource {
-    /// An entry VM that had served it.
+    /// The record of an entry VM that had served the program.
     #[display("a witness")]
     Witness,
-    /// The continuation that its caller carried.
+    /// The signed continuation sent by the caller.
     #[display("its continuation")]
     Continuation,
-    /// The end of a turn that its entry VM reported.
+    /// A `Settle` message in which an entry VM reported the end of a turn.
     #[display("the end of a turn")]
     Settle,
-    /// Its old home.
+    /// A hand-over by the previous home.
     #[display("its old home")]
     HandOver,
 }
 
-/// Why a program is over.
+/// Why a program was closed.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum OverReason {
-    /// Its caller ended it.
+    /// The caller ended it.
     #[display("ended by its caller")]
     Ended,
-    /// It had no calls for the time of its lease.
+    /// It had no calls for the duration of its lease.
     #[display("its lease ended")]
     Lapsed,
-    /// It used up its tokens, turns or time.
+    /// It used up its budget of tokens, turns or wall time.
     #[display("its budget is used up")]
     Exhausted,
-    /// Another program runs under its name.
+    /// The caller started a new program under the same name.
     #[display("its name has a new program")]
     Replaced,
 }
@@ -40,45 +40,45 @@
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum PlacementReason {
-    /// It has the fewest calls running for its limit.
+    /// It has the fewest running calls relative to its limit.
     #[display("fewest running")]
     LeastRunning,
-    /// It is next in turn.
+    /// It is next in round-robin order.
     #[display("next in turn")]
     InTurn,
-    /// It has the lowest cost of waiting and reading the prompt.
+    /// It has the lowest estimated cost of waiting and processing the prompt.
     #[display("lowest cost {cost_us} us")]
     LowestCost {
-        /// The cost.
+        /// The estimated cost in microseconds.
         cost_us: u64,
     },
-    /// It has the lowest cost because it may hold a prefix of the prompt.
+    /// It has the lowest cost because it may have a prefix of the prompt cached.
     #[display("cached prefix of {cached_tokens} tokens, cost {cost_us} us")]
     CachedPrefix {
-        /// Tokens expected in the cache.
+        /// Prompt tokens expected to be cached.
         cached_tokens: u64,
-        /// The cost.
+        /// The estimated cost in microseconds.
         cost_us: u64,
     },
-    /// The content was in crashes and runs alone.
+    /// The content was running in earlier crashes, so it gets the upstream exclusively.
     #[display("alone after {crashes} crashes")]
     Alone {
-        /// Crashes in which it was seen.
+        /// Crashes during which the content was running.
         crashes: u32,
     },
-    /// The call ran there before and may run nowhere else.
+    /// The call has run there and may not run on another upstream.
     #[display("the only upstream allowed")]
     OnlyAllowed,
-    /// It was chosen before; the first message may be lost.
+    /// It repeats an earlier choice, since the message with that choice may have been lost.
     #[display("chosen before")]
     Repeated,
-    /// The owner of the pool did not answer.
+    /// The pool owner did not answer, so the entry VM chose by its own running calls.
     #[display("pool owner silent, fewest own calls")]
     OwnerSilent,
 }
 
 impl PlacementReason {
-    /// Returns a short name without figures, as a label of metrics.
+    /// Returns the metric label, a short name without numbers.
     pub fn label(&self) -> &'static str {
         match self {
             Self::LeastRunning => "least_running",
@@ -93,48 +93,48 @@
     }
 }
 
-/// Why a failed call is or is not tried again.
+/// Why a failed call is or is not retried.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum RetryReason {
-    /// The request did not run.
+    /// The request did not run, so a retry is safe.
     #[display("did not run")]
     NotRun,
-    /// The call is idempotent.
+    /// The request is idempotent.
     #[display("idempotent")]
     Idempotent,
-    /// The call may not be repeated.
+    /// The request may have run and is not idempotent.
     #[display("may not be repeated")]
     NotIdempotent,
-    /// A part of the response reached the caller.
+    /// Part of the response has reached the caller.
     #[display("response has started")]
     Forwarded,
-    /// The call failed too often.
+    /// The call has reached its maximum number of attempts.
     #[display("too many attempts")]
     TooManyAttempts,
-    /// The caller waits no longer.
+    /// The call's deadline leaves no time for another attempt.
     #[display("no time left")]
     TooLate,
-    /// The retry budget is used up.
+    /// The pool's retry budget is used up.
     #[display("retry budget used up")]
     OverBudget,
 }
 
-/// What shows whether a broken connection was a crash.
+/// The evidence for or against a crash after a connection broke.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum CrashEvidence {
-    /// New connections are refused.
+    /// The upstream refuses new connections.
     #[display("connections refused")]
     Refused,
-    /// The process has restarted.
+    /// The upstream's process has restarted.
     #[display("process restarted")]
     Restarted,
-    /// Several attempts were lost at once.
+    /// Several attempts on the upstream lost their connections at once.
     #[display("several attempts lost at once")]
     SeveralLost,
-    /// The probe had no answer.
+    /// The upstream did not answer the probe.
     #[display("probe without answer")]
     ProbeSilent,
-    /// New connections work and nothing else was lost.
+    /// The upstream accepts new connections and no other attempt was lost.
     #[display("new connections work")]
     Answering,
 }
--- a/crates/core/src/output/refusal.rs
+++ b/crates/core/src/output/refusal.rs
@@ -1,14 +1,14 @@
-//! Refusals and what they say about the call.
+//! Refusals, their HTTP statuses and remedies.
 
 use derive_more::Display;
 
 use crate::ids::CallId;
 
-/// Whether a call ran.
+/// What is known about whether a call ran.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Execution {
-    /// No byte of the request left for an upstream, or the upstream refused it.
+    /// No byte of the request was sent to an upstream, or the upstream refused it.
     #[display("not_run")]
     NotRun,
     /// The request was sent and its outcome is unknown.
@@ -19,20 +19,20 @@
     Ran,
 }
 
-/// A call that gets no response of an upstream.
+/// A refusal, sent to the caller in place of an upstream's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// The call.
+    /// The refused call.
     pub call: CallId,
     /// Why it was refused.
     pub kind: RefusalKind,
-    /// Whether it ran.
+    /// Whether the call ran before it was refused.
     pub ran: Execution,
-    /// When a resend may succeed, if it may.
+    /// Time after which a resend may succeed; `None` to give no such hint.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Defines the kinds of refusal with their name, HTTP status and remedy.
+/// Defines the kinds of refusal, each with its name on the wire, HTTP status and remedy.
 macro_rules! kinds {
     ($($(#[$doc:meta])* $kind:ident = $text:literal, $status:literal, $remedy:literal;)+) => {
         /// Why a call was refused.
@@ -66,43 +66,43 @@
 kinds! {
     /// The call carried no key.
     KeyMissing = "key_missing", 401, "send the header `authorization: Bearer <key>`";
-    /// The key is not known.
+    /// The key is unknown.
     KeyUnknown = "key_unknown", 401, "check the key, or ask the operator for a new one";
     /// The key has been withdrawn.
     KeyWithdrawn = "key_withdrawn", 401, "ask the operator for a new key";
-    /// This VM cannot learn about withdrawn keys at present.
+    /// This VM is isolated from the fleet and cannot learn of withdrawn keys.
     Isolated = "isolated", 503, "resend; the load balancer will choose another VM";
     /// This VM has no configuration yet.
     NotConfigured = "not_configured", 503, "resend; the VM has just started";
-    /// The store did not confirm the program's budget.
+    /// The store did not confirm that the program's budget covers the turn.
     BudgetUnknown = "budget_unknown", 503, "resend after the time in retry-after";
     /// No service offers the model.
     ModelUnknown = "model_unknown", 404, "list the models with GET /v1/models";
     /// The service or route does not exist.
     RouteUnknown = "route_unknown", 404, "check the service name and path";
-    /// The content crashed upstreams.
+    /// The content is quarantined because it crashed upstreams.
     Quarantined = "quarantined", 422, "change the request; it crashed several upstreams";
-    /// The account is over its rate.
+    /// The account exceeds its rate limit.
     OverRate = "over_rate", 429, "resend after the time in retry-after";
-    /// A turn before this one has not ended.
+    /// An earlier turn of the program has not ended.
     TurnOutOfOrder = "turn_out_of_order", 409, "send the turn that follows the last response";
-    /// The turn is running or has ended.
+    /// The turn is already running or has ended.
     DuplicateTurn = "duplicate_turn", 409, "wait for the response of the first request";
-    /// The continuation is older than the program.
+    /// The continuation is older than the state of the program.
     StaleContinuation = "stale_continuation", 409, "use the continuation of the last response";
     /// The messages do not match the continuation.
     HistoryMismatch = "history_mismatch", 409, "send the messages of the last turn unchanged";
-    /// The program needs a continuation that was not sent.
+    /// The program needs a continuation and the call carried none.
     ContinuationMissing = "continuation_missing", 409, "send the header kwd-continuation of the last response";
-    /// The program has used its tokens, turns or time.
+    /// The program has used up its budget of tokens, turns or wall time.
     OverBudget = "over_budget", 402, "end the program; its budget is used up";
     /// The program has ended.
     ProgramEnded = "program_ended", 410, "start a program with another name";
     /// The program's home is moving to another VM.
     HomeMoving = "home_moving", 503, "resend after the time in retry-after";
-    /// The call may not be repeated and carried no permit.
+    /// The request is not idempotent and carried no permit.
     PermitRequired = "permit_required", 428, "ask for a permit with POST /v1/programs/<program>/permits";
-    /// The permit is void or has been used.
+    /// The permit is invalid or has been used.
     PermitVoid = "permit_void", 409, "find out whether the request ran before sending it again";
     /// No upstream became free in time.
     NoUpstream = "no_upstream", 503, "resend after the time in retry-after";
@@ -110,13 +110,13 @@
     UpstreamFailed = "upstream_failed", 502, "resend if the request may be repeated";
     /// The upstream did not answer in time.
     UpstreamSilent = "upstream_silent", 504, "resend if the request may be repeated";
-    /// This VM has more calls than it can hold.
+    /// This VM cannot hold more calls.
     Overloaded = "overloaded", 503, "resend after the time in retry-after";
-    /// This VM is stopping and accepts no new programs.
+    /// This VM is draining and accepts no new programs.
     Draining = "draining", 503, "resend; the load balancer will choose another VM";
     /// The caller disconnected.
     CallerGone = "caller_gone", 499, "resend if the request may be repeated";
-    /// The request could not be read.
+    /// The request could not be parsed.
     Malformed = "malformed", 400, "correct the request; docs/api.md describes it";
     /// The request is too large.
     TooLarge = "too_large", 413, "send a smaller request";
--- a/crates/core/src/output/source.rs
+++ b/crates/core/src/output/source.rs
@@ -1,38 +1,38 @@
-//! Requests to the platform's store beyond the view.
+//! Requests to the platform's store other than those for the view.
 
 use crate::ids::ProgramKey;
 
-/// A request to the platform's store; each but `Stop` is answered by one `SourceEvent`.
+/// A request to the platform's store; each one but `Stop` is answered by one `SourceEvent`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SourceRequest {
-    /// Read the published configuration; a lagging replica must not answer.
+    /// Read the published configuration; stale replica reads are not allowed.
     Config,
-    /// Read the list of upstreams; a lagging replica must not answer.
+    /// Read the list of upstreams; stale replica reads are not allowed.
     Upstreams,
-    /// Register this VM and list the registered ones.
+    /// Register this VM and list all registered VMs.
     Vms,
-    /// Count a loss of the memory of all VMs, and read the records of budgets.
+    /// Count one loss of the in-memory state of all VMs, and read the budget records.
     Losses,
-    /// Record that a program has used up its budget; there is no answer to wait for.
+    /// Mark a program's budget as used up; no event answers this request.
     Stop {
-        /// The program.
+        /// The program to mark.
         program: ProgramKey,
-        /// The whole budget.
+        /// The program's whole token budget.
         budget_tokens: u64,
     },
     /// Reserve tokens of a program's budget with `BudgetRecord::reserve`.
     Reserve {
-        /// The program.
+        /// The program to reserve for.
         program: ProgramKey,
-        /// The whole budget.
+        /// The program's whole token budget.
         budget_tokens: u64,
-        /// Losses of memory after which the program was met.
+        /// Counted memory losses when this VM first saw the program.
         losses: u32,
-        /// The most that one turn may generate.
+        /// The most tokens that one turn may generate.
         turn_tokens: u64,
-        /// The least that helps.
+        /// The smallest useful reservation.
         needed_tokens: u64,
-        /// Whether the program is known to have a record, so that it is read first.
+        /// Whether the program is known to have a record; if so, it is read before it is written.
         has_record: bool,
     },
 }
--- a/crates/token/src/content.rs
+++ b/crates/token/src/content.rs
@@ -5,8 +5,8 @@
 
 /// Returns the digest of a request's parts, such as target and body.
 ///
-/// The length of each part is hashed too, so that moving bytes from one part
-/// to the next changes the digest.
+/// Each part is hashed after its length, so that moving bytes from one part to
+/// the next changes the digest.
 ///
 /// # Examples
 ///
--- a/crates/token/src/encoding.rs
+++ b/crates/token/src/encoding.rs
@@ -1,7 +1,7 @@
-//! The fixed encoding of signed values.
+//! The binary encoding of signed values.
 //!
-//! Numbers are big-endian; texts carry their length in two bytes. Each value
-//! has exactly one encoding.
+//! Numbers are big-endian; texts are preceded by their length in two bytes.
+//! Each value has exactly one encoding.
 
 use derive_more::{Display, Error};
 
@@ -19,7 +19,7 @@
     Text,
 }
 
-/// Writes the fields of a value.
+/// Encodes the fields of a value.
 #[derive(Debug, Default)]
 pub struct Encoder(Vec<u8>);
 
@@ -42,13 +42,13 @@
         self
     }
 
-    /// Appends bytes whose number is fixed by the field.
+    /// Appends the bytes of a field of fixed length.
     pub fn bytes(&mut self, value: &[u8]) -> &mut Self {
         self.0.extend(value);
         self
     }
 
-    /// Appends a text of at most 65,535 bytes; the rest of a longer one is cut off.
+    /// Appends a text of at most 65,535 bytes; a longer text is truncated.
     pub fn text(&mut self, value: &str) -> &mut Self {
         let len = u16::try_from(value.len()).unwrap_or(u16::MAX);
         self.0.extend(len.to_be_bytes());
@@ -56,18 +56,18 @@
         self
     }
 
-    /// Returns the bytes written so far.
+    /// Returns the encoded bytes.
     pub fn into_bytes(self) -> Vec<u8> {
         self.0
     }
 }
 
-/// Reads the fields of a value.
+/// Decodes the fields of a value.
 #[derive(Debug)]
 pub struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
-    /// Reads from the start of some bytes.
+    /// Creates a decoder that starts at the first of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Self {
         Self(bytes)
     }
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the bytes end too early, as do all other reads.
+    /// Fails if the bytes end too early.
     pub fn byte(&mut self) -> Result<u8, EncodingError> {
         Ok(self.array::<1>()?[0])
     }
@@ -122,7 +122,7 @@
         std::str::from_utf8(head).map_err(|_| EncodingError::Text)
     }
 
-    /// Checks that everything has been read.
+    /// Checks that all bytes have been read.
     ///
     /// # Errors
     ///
--- a/crates/token/src/history.rs
+++ b/crates/token/src/history.rs
@@ -3,13 +3,13 @@
 use knapweeddale_core::HistoryDigest;
 use sha2::{Digest, Sha256};
 
-/// Keeps history digests apart from other digests of the same bytes.
+/// Domain separator: the same bytes hashed for another purpose give another digest.
 const DOMAIN: &[u8] = b"kwd-history-1";
 
 /// The digest of a sequence of messages, extended one message at a time.
 ///
-/// Extending takes time in proportion to the new message only, so the digest
-/// of a long history is never recomputed for the response that follows it.
+/// Extending hashes the new message only, so that a response can be added to a
+/// long history without hashing the history again.
 ///
 /// # Examples
 ///
@@ -27,7 +27,7 @@
 pub struct HistoryChain(HistoryDigest);
 
 impl HistoryChain {
-    /// Adds a message in its canonical form.
+    /// Appends a message, given in its canonical form.
     pub fn extend(&mut self, message: &[u8]) {
         let mut hasher = Sha256::new();
         hasher.update(DOMAIN);
--- a/crates/token/src/key.rs
+++ b/crates/token/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys of callers.
+//! Parsing and hashing of callers' keys.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,22 +7,22 @@
 use knapweeddale_core::{KeyId, PresentedKey, Secret256};
 use sha2::{Digest, Sha256};
 
-/// The start of every key, which secret scanners can search for.
+/// Prefix of every key, which secret scanners can search for.
 const PREFIX: &str = "kwd_";
 
-/// Longest public part of a key.
+/// Maximum length of a key's ID.
 const MAX_ID_BYTES: usize = 32;
 
-/// Shortest secret part; 32 alphanumeric characters hold 190 random bits.
+/// Minimum length of a key's secret; 32 alphanumeric characters hold 190 random bits.
 const MIN_SECRET_BYTES: usize = 32;
 
-/// Longest secret part, which bounds the work of hashing.
+/// Maximum length of a key's secret, which bounds the cost of hashing.
 const MAX_SECRET_BYTES: usize = 128;
 
 /// A caller's key, in the form `kwd_<id>_<secret>`.
 ///
-/// The id holds lower-case letters, digits and `-`; the secret holds letters
-/// and digits. `Debug` shows the id only.
+/// The ID consists of lower-case letters, digits and `-`, the secret of letters
+/// and digits. `Debug` shows the ID only.
 ///
 /// # Examples
 ///
@@ -39,43 +39,43 @@
     text: String,
 }
 
-/// Why a text is not a key. The text itself is never shown.
+/// Why a text is not a valid key. The messages never show the text.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum KeyError {
-    /// The prefix is missing.
+    /// The text does not start with the prefix.
     #[display("the key does not start with `kwd_`; copy the whole key")]
     Prefix,
-    /// The id is empty, too long or has other characters.
+    /// The ID is empty, too long or has characters that are not allowed.
     #[display("the id of the key is not 1 to 32 of a-z, 0-9 and `-`; copy the whole key")]
     Id,
-    /// The secret has the wrong length or other characters.
+    /// The secret has the wrong length or characters that are not allowed.
     #[display("the secret of the key is not 32 to 128 letters and digits; copy the whole key")]
     Secret,
 }
 
 impl CallerKey {
-    /// Returns the public part.
+    /// Returns the ID, which is public.
     pub fn id(&self) -> &KeyId {
         &self.id
     }
 
-    /// Returns the whole text. It must reach no log, metric, peer or upstream.
+    /// Returns the whole key, which must not reach any log, metric, peer or upstream.
     pub fn expose(&self) -> &str {
         &self.text
     }
 
-    /// Returns the SHA-256 digest of the whole text.
+    /// Returns the SHA-256 digest of the whole key.
     pub fn digest(&self) -> Secret256 {
         Secret256(Sha256::digest(self.text.as_bytes()).into())
     }
 
-    /// Returns the digest in hexadecimal, as account and keys files hold it.
+    /// Returns the digest in hexadecimal, as in account and keys files.
     pub fn digest_hex(&self) -> String {
         let digest = self.digest();
         digest.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Returns what the core needs of the key.
+    /// Returns the ID and digest, which the core checks.
     pub fn presented(&self) -> PresentedKey {
         PresentedKey {
             id: self.id.clone(),
--- a/crates/token/src/lib.rs
+++ b/crates/token/src/lib.rs
@@ -1,7 +1,7 @@
 //! Keys, digests and signed continuations of knapweeddale.
 //!
-//! The crate turns texts of callers into verified values of the core and
-//! back. It does no I/O and draws no random numbers.
+//! This crate parses and verifies the texts that callers send, and encodes and
+//! signs values for them. It does no I/O and uses no randomness.
 //!
 //! # Examples
 //!
--- a/crates/token/src/signer.rs
+++ b/crates/token/src/signer.rs
@@ -1,4 +1,4 @@
-//! Signatures under the fleet's secret.
+//! Signing and verification of values with the fleet's secret.
 
 use std::fmt;
 
@@ -12,19 +12,19 @@
 use crate::encoding::{Decoder, Encoder, EncodingError};
 use crate::value::SignedValue;
 
-/// The version of the encoding; a new one refuses older tokens.
+/// Version of the encoding. Tokens of other versions are rejected.
 const VERSION: u8 = 1;
 
-/// Bytes of an HMAC-SHA-256 tag.
+/// Length of an HMAC-SHA-256 tag.
 const TAG_BYTES: usize = 32;
 
-/// Shortest secret; that of the hash function's output.
+/// Minimum length of the secret: that of the hash function's output.
 const MIN_SECRET_BYTES: usize = 32;
 
-/// Longest token; names are shorter, so that a longer one is no token of ours.
+/// Maximum length of a token; names are short enough that no valid token is longer.
 const MAX_TOKEN_BYTES: usize = 4_096;
 
-/// Signs and verifies values under the fleet's secret.
+/// Signs and verifies values with the fleet's secret.
 ///
 /// # Examples
 ///
@@ -50,15 +50,15 @@
 #[derive(Clone)]
 pub struct Signer(Hmac<Sha256>);
 
-/// The fleet's secret cannot be used.
+/// The fleet's secret is too short.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 #[display("the fleet secret has {len} bytes; use at least 32 random bytes")]
 pub struct SecretError {
-    /// The length of the secret.
+    /// The length of the secret in bytes.
     pub len: usize,
 }
 
-/// Why a token was not accepted.
+/// Why a token was rejected.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum TokenError {
     /// The text is too long or not base64url.
@@ -67,7 +67,7 @@
         /// The header that carried the token.
         header: &'static str,
     },
-    /// The signature is not that of this fleet.
+    /// The signature was not made with this fleet's secret.
     #[display("the signature of {header} does not match; send it as it was received")]
     Signature {
         /// The header that carried the token.
@@ -79,7 +79,7 @@
         /// The header that carried the token.
         header: &'static str,
     },
-    /// The signed bytes are not a value.
+    /// The signed bytes cannot be decoded.
     #[display("{header} cannot be read, {source}; ask for a new one")]
     Value {
         /// The header that carried the token.
@@ -90,7 +90,7 @@
 }
 
 impl Signer {
-    /// Makes a signer from the secret that all VMs of the fleet share.
+    /// Creates a signer with the secret that all VMs of the fleet share.
     ///
     /// # Errors
     ///
@@ -105,7 +105,7 @@
             .map_err(|_| SecretError { len })
     }
 
-    /// Returns the signed text of a value.
+    /// Encodes and signs a value and returns the token.
     pub fn sign<T: SignedValue>(&self, value: &T) -> String {
         let mut encoder = Encoder::default();
         encoder.byte(VERSION).byte(T::KIND);
@@ -116,12 +116,12 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Returns the value of a signed text.
+    /// Verifies a token and returns its value.
     ///
     /// # Errors
     ///
-    /// Fails if the text is not signed by this fleet or holds another kind of
-    /// value. The signature is compared in constant time.
+    /// Fails if the text is not a token signed by this fleet or holds another kind
+    /// of value. The signature is compared in constant time.
     pub fn verify<T: SignedValue>(&self, text: &str) -> Result<T, TokenError> {
         let header = T::HEADER;
         if text.len() > MAX_TOKEN_BYTES {
@@ -142,7 +142,7 @@
         })
     }
 
-    /// Returns the keyed hash over some bytes.
+    /// Starts the HMAC of `bytes`.
     fn mac(&self, bytes: &[u8]) -> Hmac<Sha256> {
         self.0.clone().chain_update(bytes)
     }
@@ -154,7 +154,7 @@
     }
 }
 
-/// Derives a secret for one purpose, so that it says nothing about the others.
+/// Derives a secret for one purpose, which reveals nothing about other derived secrets.
 ///
 /// # Errors
 ///
@@ -165,7 +165,7 @@
     Ok(tag.iter().map(|byte| format!("{byte:02x}")).collect())
 }
 
-/// Reads version, kind and fields; an error without a source means another kind.
+/// Decodes version, kind and fields; `Err(None)` means another version or kind.
 fn read_value<T: SignedValue>(bytes: &[u8]) -> Result<T, Option<EncodingError>> {
     let mut decoder = Decoder::new(bytes);
     let version = decoder.byte().map_err(Some)?;
@@ -178,7 +178,7 @@
     Ok(value)
 }
 
-/// Compares two secrets of any length in constant time for their length.
+/// Compares two secrets in time that depends on their lengths only.
 pub fn secrets_match(left: &[u8], right: &[u8]) -> bool {
     Sha256::digest(left).ct_eq(&Sha256::digest(right)).into()
 }
--- a/crates/token/src/value.rs
+++ b/crates/token/src/value.rs
@@ -1,4 +1,4 @@
-//! The values that can be signed.
+//! The values that can be signed, and their fields on the wire.
 
 use knapweeddale_core::input::{Continuation, Permit};
 use knapweeddale_core::{
@@ -7,18 +7,18 @@
 
 use crate::encoding::{Decoder, Encoder, EncodingError};
 
-/// A value that callers carry under the fleet's signature.
+/// A value that is given to callers in a signed token.
 pub trait SignedValue: Sized {
-    /// Tells the kinds of values apart under one secret.
+    /// Number of the kind of value, which keeps a token of one kind from being accepted as another.
     const KIND: u8;
 
     /// The header that carries the value, for error messages.
     const HEADER: &'static str;
 
-    /// Writes the fields.
+    /// Encodes the fields.
     fn encode(&self, encoder: &mut Encoder);
 
-    /// Reads the fields.
+    /// Decodes the fields.
     ///
     /// # Errors
     ///
@@ -82,13 +82,13 @@
     }
 }
 
-/// Writes account and name of a program.
+/// Encodes the account and name of a program.
 fn encode_program(program: &ProgramKey, encoder: &mut Encoder) {
     encoder.text(program.account.as_str());
     encoder.text(program.name.as_str());
 }
 
-/// Reads account and name of a program.
+/// Decodes the account and name of a program.
 fn decode_program(decoder: &mut Decoder<'_>) -> Result<ProgramKey, EncodingError> {
     Ok(ProgramKey {
         account: AccountName::from(decoder.text()?),
--- a/crates/token/tests/caller_keys.rs
+++ b/crates/token/tests/caller_keys.rs
@@ -1,4 +1,4 @@
-//! Guards against accepting malformed keys and against keys in debug output.
+//! Malformed keys are rejected, and debug output does not show the secret.
 
 use knapweeddale_token::{CallerKey, KeyError};
 use rstest::rstest;
--- a/crates/token/tests/signed_tokens.rs
+++ b/crates/token/tests/signed_tokens.rs
@@ -1,4 +1,4 @@
-//! Guards against accepting a token that this fleet did not issue.
+//! Tokens that this fleet did not sign, and tokens of another kind, are rejected.
 
 use knapweeddale_core::input::{Continuation, Permit};
 use knapweeddale_core::{Epoch, HistoryDigest, ProgramKey};
