--- a/crates/relay/src/call/attempt.rs
+++ b/crates/relay/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call on an upstream.
+//! Runs one attempt of a call on an upstream: sends the request and relays the response.
 
 use std::time::Duration;
 
@@ -18,28 +18,28 @@
 use crate::metrics::Stage;
 use crate::upstream::{Connection, EventReader, ReadError, ResponseHead};
 
-/// Longest response that is passed on as a whole.
+/// Longest response body that is buffered before it is forwarded.
 const MAX_BUFFERED_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Responses to other requests that are passed over on one connection.
+/// Responses to other requests that an attempt skips before it fails.
 const MAX_MISMATCHED_RESPONSES: usize = 2;
 
-/// What a call has passed to its caller, over all attempts.
+/// What a call has sent to its upstreams and forwarded to its caller so far.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    /// Tokens passed on by the present attempt.
+    /// Tokens that the current attempt forwarded.
     pub forwarded_tokens: u64,
-    /// The last event that the caller has.
+    /// The last event that was forwarded, by any attempt; an upstream resumes after it.
     pub last_event_id: Option<u64>,
-    /// Whether any event was passed on.
+    /// Whether an event was forwarded, by any attempt.
     pub is_stream_started: bool,
-    /// Whether the present attempt may have sent a byte of the request.
+    /// Whether the current attempt may have sent a byte of the request.
     pub may_be_sent: bool,
-    /// Time that upstreams took.
+    /// Time from sending a request to the end of its response, summed over all attempts.
     pub upstream_time: Duration,
 }
 
-/// One attempt of a call on an upstream.
+/// One attempt of a call on the upstream that the core selected.
 pub(super) struct Attempt<'a, D, C> {
     pub shared: &'a SharedState<D, C>,
     pub parts: &'a Parts,
@@ -54,10 +54,10 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub(super) enum AttemptEnd {
-    /// The response is complete; one that is no stream has still to be given to the caller.
+    /// The response is complete; one that was not streamed has yet to be sent to the caller.
     Finished(AttemptOutcome, Option<Response<RelayBody>>),
-    /// There is no complete response; an error of the upstream may be passed on if nothing
-    /// better follows.
+    /// There is no complete response; the caller gets the upstream's error response if the call
+    /// ends with this failure.
     Failed(Failure, Option<Response<RelayBody>>),
 }
 
@@ -68,7 +68,8 @@
 }
 
 impl<D: Dialect, C: Clock> Attempt<'_, D, C> {
-    /// Runs the attempt.
+    /// Connects to the upstream, exchanges request and response, and returns the connection to
+    /// the pool if it can be reused.
     pub async fn run(mut self) -> AttemptEnd {
         let now_us = self.shared.clock.now_us();
         let limit_us = if self.progress.is_stream_started {
@@ -89,7 +90,7 @@
             Ok(Ok(connection)) => connection,
             Ok(Err(error)) => {
                 let upstream = &self.dispatch.upstream;
-                tracing::info!(%upstream, "upstream: no connection ({error})");
+                tracing::info!(%upstream, "upstream: connection failed ({error})");
                 return Failure::NotSent.into();
             }
             Err(_) => return Failure::NotSent.into(),
@@ -111,10 +112,10 @@
         }
     }
 
-    /// Sends the request and passes its response on.
+    /// Sends the request and relays its response.
     ///
-    /// Returns how the attempt ended, and for a connection that can be used again how long the
-    /// upstream keeps it.
+    /// Returns how the attempt ended and, if the connection can be reused, how long the upstream
+    /// keeps it open.
     async fn exchange(
         &mut self,
         connection: &mut Connection,
@@ -154,7 +155,7 @@
                 .decode_response(head.status, &head.headers);
         }
         if self.is_mismatched(&answer) {
-            return Err(self.invalid_response("only responses to other requests"));
+            return Err(self.invalid_response("it belongs to another request"));
         }
         let is_reusable = exchange.is_request_complete && head.is_keep_alive;
         let end = match self.dispatch.events {
@@ -173,7 +174,7 @@
         Ok((end.0, keep))
     }
 
-    /// Returns whether a response belongs to another request.
+    /// Returns whether a response carries the ID of another request.
     fn is_mismatched(&self, answer: &ResponseInfo) -> bool {
         match (&answer.request_id, &self.head.request_id) {
             (Some(answered), Some(asked)) => answered != asked,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Reads a response to another request to its end, and the head of the next one.
+    /// Discards a response to another request and reads the head of the next one.
     async fn skip_response(
         &self,
         connection: &mut Connection,
@@ -189,7 +190,7 @@
         limit: Instant,
     ) -> Result<ResponseHead, Failure> {
         let upstream = &self.dispatch.upstream;
-        tracing::warn!(%upstream, "upstream: response to another request passed over");
+        tracing::warn!(%upstream, "upstream: skipped a response to another request");
         let next = async {
             let mut body = connection.body(&self.parts.method, head)?;
             body.collect(MAX_BUFFERED_BODY_BYTES).await?;
@@ -201,7 +202,7 @@
         next.map_err(|error| self.failure(&error))
     }
 
-    /// Reads a response as a whole; returns whether its connection can be used again.
+    /// Reads a whole response body; returns it and whether its connection can be reused.
     async fn read_whole(
         &self,
         connection: &mut Connection,
@@ -221,7 +222,7 @@
         read.map_err(|error| self.failure(&error))
     }
 
-    /// Decides what a whole response means.
+    /// Decides whether a complete response is a result, a refusal or an error.
     fn classify_response(
         &self,
         head: &ResponseHead,
@@ -235,10 +236,12 @@
             return Failure::RefusedByUpstream { status }.into();
         }
         if status.is_success() && !is_authentic(head, answer) {
-            return self.invalid_response("a success without signature").into();
+            return self
+                .invalid_response("it is unsigned or has a content-encoding")
+                .into();
         }
         if status.is_server_error() || implies_not_run(status) {
-            // A status that says "not run" would be untrue without the upstream's word.
+            // A status that implies "not run" is not forwarded unless the upstream confirms it.
             let error_response = (!implies_not_run(status)).then(|| to_caller_response(head, body));
             let status = status.as_u16();
             return AttemptEnd::Failed(Failure::UpstreamError { status }, error_response);
@@ -246,7 +249,9 @@
         AttemptEnd::Finished(self.attempt_outcome(), Some(to_caller_response(head, body)))
     }
 
-    /// Passes a stream on, event by event.
+    /// Forwards a stream event by event.
+    ///
+    /// Once an event was forwarded, the stream deadline replaces that of the call.
     async fn forward_stream(
         &mut self,
         connection: &mut Connection,
@@ -278,9 +283,7 @@
                 Err(_) => return Err(self.timeout_failure()),
                 Ok(Err(error)) => return Err(self.failure(&error)),
                 Ok(Ok(Some(bytes))) => bytes,
-                Ok(Ok(None)) if events.has_partial() => {
-                    return Err(self.failure(&ReadError::Ended));
-                }
+                Ok(Ok(None)) if events.has_partial() => return Err(self.failure(&ReadError::Ended)),
                 Ok(Ok(None)) => break,
             };
             events.push(&bytes);
@@ -295,7 +298,7 @@
                     .metrics
                     .observe_stage(stage, now.duration_since(last));
                 (last, is_first) = (now, false);
-                // A resumed stream may begin with an event that the caller has.
+                // A resumed stream may repeat an event that was forwarded already.
                 if event.id.is_some() && event.id <= self.progress.last_event_id {
                     continue;
                 }
@@ -316,7 +319,7 @@
         Ok(AttemptEnd::Finished(outcome, Some(empty)))
     }
 
-    /// Describes a complete response.
+    /// Returns the token counts of a complete response.
     fn attempt_outcome(&self) -> AttemptOutcome {
         AttemptOutcome {
             prompt_tokens: self.head.prompt_tokens,
@@ -325,7 +328,7 @@
         }
     }
 
-    /// Describes an upstream that said nothing for too long.
+    /// Returns the failure of an upstream that sent nothing before its time limit.
     fn timeout_failure(&self) -> Failure {
         Failure::Silent {
             answer_tokens: self.progress.forwarded_tokens,
@@ -333,7 +336,7 @@
         }
     }
 
-    /// Describes a response that broke off.
+    /// Logs a response that could not be read to its end and returns the failure.
     fn failure(&self, error: &ReadError) -> Failure {
         if let ReadError::Malformed { reason } = error {
             return self.invalid_response(reason);
@@ -347,7 +350,7 @@
         }
     }
 
-    /// Describes bytes that are no response to the request.
+    /// Logs a response that is not valid for the request and returns the failure.
     fn invalid_response(&self, reason: &str) -> Failure {
         let upstream = &self.dispatch.upstream;
         let attempt = self.dispatch.attempt;
@@ -358,11 +361,11 @@
     }
 }
 
-/// How long an upstream keeps an idle connection, if it says so.
+/// Seconds that an upstream keeps an idle connection open; `None` if it states none.
 #[derive(Debug, Clone, Copy)]
 struct KeepAlive(Option<u64>);
 
-/// Returns whether a status promises that the request did not run.
+/// Returns whether a status tells the caller that the request did not run.
 fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -373,19 +376,20 @@
     )
 }
 
-/// Returns whether a success is the upstream's own.
+/// Returns whether a successful response is the upstream's own: signed, and without a
+/// `content-encoding`.
 fn is_authentic(head: &ResponseHead, answer: &ResponseInfo) -> bool {
     answer.is_signed && !head.headers.contains_key(header::CONTENT_ENCODING)
 }
 
-/// Makes the response for the caller from that of an upstream.
+/// Converts an upstream's response to the response for the caller.
 fn to_caller_response(head: &ResponseHead, body: Bytes) -> Response<RelayBody> {
     Response::from_parts(to_caller_head(head), RelayBody::whole(body))
 }
 
-/// Makes the head for the caller from that of an upstream.
+/// Converts the head of an upstream's response to the head for the caller.
 ///
-/// Headers that concern the connection to the upstream, and its framing, are left out.
+/// Hop-by-hop headers and those of the body's framing are left out.
 fn to_caller_head(head: &ResponseHead) -> response::Parts {
     let (mut parts, ()) = Response::new(()).into_parts();
     parts.status = head.status;
@@ -393,9 +397,9 @@
     parts
 }
 
-/// Returns the headers that do not concern one connection.
+/// Returns the headers without the hop-by-hop ones and those of the framing.
 fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
+    let mut end_to_end = headers.clone();
     for name in [
         header::CONNECTION,
         header::CONTENT_LENGTH,
@@ -404,8 +408,8 @@
         header::UPGRADE,
         header::TE,
     ] {
-        kept.remove(name);
+        end_to_end.remove(name);
     }
-    kept.remove("keep-alive");
-    kept
+    end_to_end.remove("keep-alive");
+    end_to_end
 }
--- a/crates/relay/src/call/mod.rs
+++ b/crates/relay/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! The traffic side of a call: one task from arrival to the last byte.
+//! The traffic side of a call: one task that relays it from arrival to the last byte.
 
 mod attempt;
 mod reply;
--- a/crates/relay/src/call/reply.rs
+++ b/crates/relay/src/call/reply.rs
@@ -1,4 +1,4 @@
-//! The response to a caller, whole or as a stream.
+//! The response to a caller: one whole body or a stream of events.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -12,33 +12,33 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::{mpsc, oneshot};
 
-/// Events that may wait for a slow caller.
+/// Events queued for a slow caller before the call stops reading from its upstream.
 const MAX_QUEUED_EVENTS: usize = 32;
 
-/// A stream ended before it was complete; the connection to the caller has to break.
+/// A stream ended before it was complete; the connection to the caller is aborted.
 #[derive(Debug, Display, Error)]
-#[display("the stream broke off; resume it after the last event")]
+#[display("the stream ended before it was complete; resume it after the last event")]
 pub(crate) struct BrokenStream;
 
-/// Events for a caller.
+/// Sends events, or an abort of the stream, to the body of a response.
 type EventSender = mpsc::Sender<Result<Bytes, BrokenStream>>;
 
 /// The body of a response to a caller.
 #[derive(Debug)]
 pub(crate) enum RelayBody {
-    /// The whole body.
+    /// The whole body, until it is sent; `None` if it is empty.
     Whole(Option<Bytes>),
-    /// A stream of events.
+    /// A stream of events, sent as they arrive.
     Events {
-        /// The events.
+        /// Events that the task of the call queues.
         events: mpsc::Receiver<Result<Bytes, BrokenStream>>,
-        /// Tells the task of the call, by its end, that the caller has left.
+        /// Tells the task of the call, when dropped, that the caller disconnected.
         _guard: CallerGuard,
     },
 }
 
 impl RelayBody {
-    /// Makes a whole body.
+    /// Creates a body from all its bytes.
     pub fn whole(bytes: Bytes) -> Self {
         Self::Whole((!bytes.is_empty()).then_some(bytes))
     }
@@ -72,16 +72,16 @@
     }
 }
 
-/// Held for as long as the caller waits.
+/// Held as long as the caller is connected; dropping the last clone signals the disconnect.
 #[derive(Debug, Clone)]
 pub(crate) struct CallerGuard {
     _sender: Arc<oneshot::Sender<Infallible>>,
 }
 
-/// Fails when the caller has left, and never resolves otherwise.
+/// Resolves with an error when the caller disconnects, and never with a value.
 pub(crate) type CallerDisconnected = oneshot::Receiver<Infallible>;
 
-/// Makes the guard of a caller.
+/// Creates the guard of a caller and the receiver that reports its disconnect.
 pub(crate) fn caller_guard() -> (CallerGuard, CallerDisconnected) {
     let (sender, disconnected) = oneshot::channel();
     let guard = CallerGuard {
@@ -90,16 +90,16 @@
     (guard, disconnected)
 }
 
-/// What the front end has to send to a caller.
+/// The response that the front end sends to a caller.
 #[derive(Debug)]
 pub(crate) enum CallerResponse {
-    /// A whole response.
+    /// A response whose body is complete.
     Whole(Response<RelayBody>),
-    /// The head of a stream, with its events.
+    /// The head of a stream and the receiver of its events.
     Stream(Box<Parts>, mpsc::Receiver<Result<Bytes, BrokenStream>>),
 }
 
-/// The response of a call, as its task gives it.
+/// The sending side of a response, used by the task of the call.
 #[derive(Debug)]
 pub(crate) struct Reply {
     response_sender: Option<oneshot::Sender<CallerResponse>>,
@@ -107,7 +107,7 @@
 }
 
 impl Reply {
-    /// Makes a reply and the end at which the front end waits for it.
+    /// Creates a reply and the receiver on which the front end waits for it.
     pub fn new() -> (Self, oneshot::Receiver<CallerResponse>) {
         let (response_sender, waiter) = oneshot::channel();
         let reply = Self {
@@ -117,10 +117,10 @@
         (reply, waiter)
     }
 
-    /// Gives a whole response; one that comes after the start of a stream breaks it off.
+    /// Sends a whole response; if a stream has started, aborts the stream instead.
     pub async fn send_whole(&mut self, response: Response<RelayBody>) {
         if let Some(events) = self.events.take() {
-            // A caller that has left needs no sign.
+            // Fails if the caller has disconnected; there is nothing to abort then.
             let _ = events.send(Err(BrokenStream)).await;
             return;
         }
@@ -129,12 +129,12 @@
         }
     }
 
-    /// Passes an event on, after the head if it is the first one.
+    /// Sends an event, and before the first one the head.
     pub async fn send_event(&mut self, head: impl FnOnce() -> Parts, event: Bytes) {
         if let Some(response_sender) = self.response_sender.take() {
             let (events, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
             self.events = Some(events);
-            // A caller that has left is noticed by its guard.
+            // A disconnect of the caller is reported by its guard.
             let _ = response_sender.send(CallerResponse::Stream(Box::new(head()), receiver));
         }
         if let Some(events) = &self.events {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Ends a stream that is complete.
+    /// Closes a stream that is complete.
     pub fn finish(&mut self) {
         self.events = None;
     }
--- a/crates/relay/src/call/request.rs
+++ b/crates/relay/src/call/request.rs
@@ -1,15 +1,16 @@
-//! Writes the request for an upstream.
+//! Encodes the request for an upstream.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use http::request::Parts;
 use http::{HeaderMap, Method};
 
-/// Room for the head of a request.
+/// Initial capacity for the head of a request.
 const HEAD_CAPACITY_BYTES: usize = 1_024;
 
-/// Writes a request with its body as a whole.
+/// Encodes an HTTP/1.1 request with its head and body.
 ///
-/// The body always has a length, so that nothing in it can pass for another request.
+/// The body always has a `content-length`, so that no part of it can be parsed as another
+/// request (request smuggling).
 pub(super) fn encode_request(parts: &Parts, headers: &HeaderMap, body: &Bytes) -> Bytes {
     let mut text = BytesMut::with_capacity(HEAD_CAPACITY_BYTES + body.len());
     text.put_slice(parts.method.as_str().as_bytes());
--- a/crates/relay/src/call/task.rs
+++ b/crates/relay/src/call/task.rs
@@ -1,4 +1,4 @@
-//! The task of a call.
+//! The task that relays one call.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -18,7 +18,7 @@
 use crate::front::SharedState;
 use crate::metrics::Stage;
 
-/// What a task needs to begin.
+/// A call as it arrived, with the channels to the core and to its caller.
 pub(crate) struct CallContext {
     pub call: CallId,
     pub parts: Parts,
@@ -29,19 +29,19 @@
     pub disconnected: CallerDisconnected,
 }
 
-/// The task of a call: carries out what the core decides for it.
+/// The task of a call: executes the core's decisions about it.
 pub(crate) struct CallTask<D, C> {
     shared: Arc<SharedState<D, C>>,
     context: CallContext,
     progress: Progress,
     arrived: Instant,
     is_disconnected: bool,
-    /// An error of an upstream that the caller gets if nothing better follows.
+    /// Error response of the last failed attempt, sent to the caller if the call ends with it.
     error_response: Option<Response<RelayBody>>,
 }
 
 impl<D: Dialect, C: Clock> CallTask<D, C> {
-    /// Makes the task of a call that has just arrived.
+    /// Creates the task of a call; its times count from here.
     pub fn new(shared: Arc<SharedState<D, C>>, context: CallContext) -> Self {
         Self {
             shared,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Carries out the outputs of the core until the call has ended.
+    /// Executes the core's outputs until the call has ended.
     pub async fn run(mut self) {
         while let Some(output) = self.next_output().await {
             match output {
@@ -65,7 +65,7 @@
                 }
             }
         }
-        // The control thread has ended before the call.
+        // The control thread stopped before the call ended.
         let refusal = Refusal {
             call: self.context.call,
             kind: RefusalKind::Draining,
@@ -75,7 +75,7 @@
         self.send_refusal(&refusal).await;
     }
 
-    /// Waits for the next output; a caller that leaves meanwhile is reported once.
+    /// Waits for the next output; reports once if the caller disconnects meanwhile.
     async fn next_output(&mut self) -> Option<CallOutput> {
         if self.is_disconnected {
             return self.context.outputs.recv().await;
@@ -91,7 +91,7 @@
         self.context.outputs.recv().await
     }
 
-    /// Runs one attempt and reports its end.
+    /// Runs one attempt and reports its result to the core.
     async fn run_attempt(&mut self, dispatch: &Dispatch) {
         if self.progress.upstream_time.is_zero() {
             let queued = self.arrived.elapsed();
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Notes how long the call took.
+    /// Records the metrics and the log line of an answered call.
     fn record_answer(&self) {
         let whole = self.arrived.elapsed();
         let metrics = &self.shared.metrics;
@@ -168,10 +168,10 @@
         );
     }
 
-    /// Gives the caller the final answer to a call that no upstream answered.
+    /// Sends the refusal, or the last upstream's error response if the call failed with it.
     async fn send_refusal(&mut self, refusal: &Refusal) {
-        let passed_on = refusal.kind == RefusalKind::UpstreamFailed;
-        let response = match self.error_response.take().filter(|_| passed_on) {
+        let is_upstream_error = refusal.kind == RefusalKind::UpstreamFailed;
+        let response = match self.error_response.take().filter(|_| is_upstream_error) {
             Some(response) => response,
             None => to_response(self.shared.dialect.encode_refusal(refusal)),
         };
@@ -179,7 +179,7 @@
     }
 }
 
-/// Makes a response from one that the adapter wrote.
+/// Converts a response of the platform adapter to one with an empty body.
 pub(crate) fn to_response(answer: LocalResponse) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::whole(Bytes::new()));
     *response.status_mut() = answer.status;
--- a/crates/relay/src/front/listener.rs
+++ b/crates/relay/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves requests on them.
+//! Accepts connections and serves their requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -18,17 +18,17 @@
 use super::shared::SharedState;
 use crate::adapter::Dialect;
 
-/// Pause after a connection could not be accepted, for example for want of descriptors.
+/// Pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Shortest buffer for the head of a request that the HTTP library takes.
+/// Smallest buffer for the head of a request that the HTTP library accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// Idle connections stay open for this many times the published limit, so that a request which
-/// comes at the limit is never cut off.
+/// Idle connections stay open for this multiple of the published timeout, so that a request sent
+/// just before the timeout is still served.
 const IDLE_TIMEOUT_FACTOR: u64 = 2;
 
-/// Counts open connections and tells them to close after their present request.
+/// Counts open connections and tells them to close after their current request.
 #[derive(Debug, Clone)]
 pub(crate) struct ConnectionTracker {
     pub open_connections: Arc<AtomicUsize>,
@@ -49,20 +49,20 @@
                 tokio::spawn(serve_connection(stream, kind, shared, tracker.clone()));
             }
             Err(error) => {
-                tracing::warn!("front: connection not accepted ({error})");
+                tracing::warn!("front: cannot accept a connection ({error})");
                 sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Waits until connections have to close.
+/// Waits for the signal to close connections.
 async fn wait_for_close(closing: &mut watch::Receiver<bool>) {
-    // Fails only when the daemon has ended, which is reason enough.
+    // Fails only if the daemon dropped the sender, which means the same as the signal.
     let _ = closing.wait_for(|closing| *closing).await;
 }
 
-/// Serves the requests of one connection.
+/// Serves the requests of one connection until it ends or connections have to close.
 async fn serve_connection<D: Dialect, C: Clock>(
     stream: TcpStream,
     kind: ListenerKind,
@@ -70,7 +70,7 @@
     mut tracker: ConnectionTracker,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!("front: no-delay cannot be set ({error})");
+        tracing::debug!("front: cannot set TCP_NODELAY ({error})");
     }
     let status = *shared.status.borrow();
     let idle = Duration::from_millis(status.idle_timeout_ms.max(1_000) * IDLE_TIMEOUT_FACTOR);
--- a/crates/relay/src/front/mod.rs
+++ b/crates/relay/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Serves callers, the load balancer and the reader of metrics over HTTP/1.1.
+//! The HTTP/1.1 server for callers, load balancer checks and metrics scrapes.
 
 mod listener;
 mod service;
--- a/crates/relay/src/front/service.rs
+++ b/crates/relay/src/front/service.rs
@@ -1,4 +1,4 @@
-//! Answers one request.
+//! Handles one HTTP request.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -23,28 +23,28 @@
 };
 use crate::control::Message;
 
-/// Outputs that a call may have waiting.
+/// Core outputs queued for one call's task.
 const MAX_QUEUED_OUTPUTS: usize = 8;
 
-/// How long a caller waits that does not say so.
+/// Timeout of a call whose caller states none.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
-/// Time kept for the way of an answer to the caller.
+/// Part of the timeout reserved for sending the response back to the caller.
 const RESPONSE_MARGIN_MS: u64 = 20;
 
-/// The path at which metrics are served.
+/// Path of the metrics, on the readiness listener.
 const METRICS_PATH: &str = "/metrics";
 
-/// Who calls at a listener.
+/// The kind of requests that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ListenerKind {
-    /// Callers.
+    /// Calls of agent programs.
     Calls,
-    /// The load balancer, and the reader of metrics.
+    /// Readiness checks of the load balancer, and metrics scrapes.
     Readiness,
 }
 
-/// Answers one request.
+/// Handles one request.
 pub(super) async fn handle_request<D: Dialect, C: Clock>(
     shared: Arc<SharedState<D, C>>,
     kind: ListenerKind,
@@ -56,7 +56,7 @@
     })
 }
 
-/// Tells the load balancer whether this VM may get calls.
+/// Reports whether this VM accepts calls; serves the metrics at their path.
 fn readiness_response<D: Dialect, C>(
     shared: &SharedState<D, C>,
     path: &str,
@@ -74,25 +74,25 @@
     plain_response(status, Bytes::new())
 }
 
-/// Serves the metrics as text.
+/// Returns the metrics in the Prometheus text format.
 fn metrics_response<D, C>(shared: &SharedState<D, C>) -> Response<RelayBody> {
     match shared.metrics.to_text() {
         Ok(text) => plain_response(StatusCode::OK, Bytes::from(text)),
         Err(error) => {
-            tracing::error!("metrics: cannot be written ({error})");
+            tracing::error!("metrics: cannot be encoded ({error})");
             plain_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
         }
     }
 }
 
-/// Makes a response without headers.
+/// Creates a response without headers.
 fn plain_response(status: StatusCode, body: Bytes) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::whole(body));
     *response.status_mut() = status;
     response
 }
 
-/// Relays a call of a caller.
+/// Submits a call to the core, spawns its task and returns the response.
 async fn relay_call<D: Dialect, C: Clock>(
     shared: Arc<SharedState<D, C>>,
     request: Request<Incoming>,
@@ -151,13 +151,13 @@
             Response::from_parts(*head, body)
         }
         Err(_) => {
-            tracing::error!(%call, "call: ended without an answer");
+            tracing::error!(%call, "call: task ended without a response");
             plain_response(StatusCode::BAD_GATEWAY, Bytes::new())
         }
     }
 }
 
-/// Reads the body of a request as a whole.
+/// Reads the whole body of a request, up to `limit` bytes.
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, RefusalKind> {
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
@@ -166,7 +166,7 @@
     }
 }
 
-/// Describes a call to the core.
+/// Converts a request to the call that the core receives.
 fn to_new_call(
     call: CallId,
     arrived_us: u64,
@@ -197,7 +197,7 @@
         .build()
 }
 
-/// Returns a number that spreads requests over the backends of a route.
+/// Hashes the request ID to spread requests over the backends of a route.
 fn spread_hash(head: &CallHead) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
@@ -205,7 +205,7 @@
     hasher.finish()
 }
 
-/// Identifies the content of a request across resends of its caller.
+/// Returns a digest of the request that is the same when its caller sends it again.
 fn content_digest(parts: &Parts, head: &CallHead, body: &Bytes) -> ContentDigest {
     let mut hasher = Sha256::new();
     hasher.update(parts.method.as_str());
@@ -221,7 +221,7 @@
     digest
 }
 
-/// Refuses a call that the core has not seen.
+/// Refuses a call before it reaches the core.
 fn refuse_call<D: Dialect, C>(
     shared: &SharedState<D, C>,
     call: CallId,
--- a/crates/relay/src/front/shared.rs
+++ b/crates/relay/src/front/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests share.
+//! State shared by all requests.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -10,7 +10,7 @@
 use crate::metrics::Metrics;
 use crate::upstream::Pool;
 
-/// What all requests share.
+/// State shared by all requests of a process.
 #[derive(Debug)]
 pub(crate) struct SharedState<D, C> {
     pub dialect: D,
@@ -22,12 +22,12 @@
     pub status: watch::Receiver<Status>,
     /// Whether the process was asked to stop.
     pub is_draining: AtomicBool,
-    /// Longest body of a request while no configuration states it.
+    /// Limit for request bodies until a configuration states one.
     pub max_body_bytes: usize,
 }
 
 impl<D, C> SharedState<D, C> {
-    /// Returns the longest body of a request.
+    /// Returns the limit for request bodies, in bytes.
     pub fn body_limit(&self) -> usize {
         match self.status.borrow().body_bytes {
             0 => self.max_body_bytes,
--- a/crates/relay/src/upstream/body.rs
+++ b/crates/relay/src/upstream/body.rs
@@ -1,28 +1,28 @@
-//! The body of a response in its framing.
+//! Decodes the body of a response: chunked, of a known length, or until the connection closes.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, StatusCode, header};
 
 use super::{Connection, ReadError, ResponseHead};
 
-/// How much of a body is left.
+/// The part of a body that is still to be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Remaining {
     /// This many bytes.
     Length(u64),
-    /// Chunks: bytes left of the present one, with the line end after it.
+    /// This many bytes of the current chunk, then its line end and the chunks after it.
     Chunk(u64),
-    /// A chunk begins with its length.
+    /// A chunk, from its size line on.
     ChunkSize,
-    /// Trailers, up to an empty line.
+    /// Trailers, up to the empty line.
     Trailers,
-    /// All bytes up to the end of the connection.
+    /// All bytes until the connection closes.
     UntilClose,
     /// Nothing.
     Nothing,
 }
 
-/// The body of a response.
+/// Reads the body of one response from its connection.
 #[derive(Debug)]
 pub(crate) struct Body<'a> {
     connection: &'a mut Connection,
@@ -31,7 +31,7 @@
 }
 
 impl<'a> Body<'a> {
-    /// Finds the framing of a body.
+    /// Starts to read the body that follows a head.
     pub fn new(
         connection: &'a mut Connection,
         method: &Method,
@@ -45,16 +45,16 @@
         })
     }
 
-    /// Returns whether the connection can be used again after the body was read.
+    /// Returns whether the connection can be reused after the body was read.
     ///
-    /// Bytes after the body belong to no request and spoil the connection.
+    /// Bytes after the body belong to no request, so a connection with such bytes is not reused.
     pub fn allows_reuse(&self) -> bool {
         self.remaining == Remaining::Nothing
             && !self.is_close_delimited
             && self.connection.buffer.is_empty()
     }
 
-    /// Reads the next bytes; `None` at the end of the body.
+    /// Returns the next bytes of the body; `None` at its end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
         loop {
             match self.remaining {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Reads a body as a whole, up to a limit.
+    /// Reads the whole body, up to a limit.
     pub async fn collect(&mut self, max_bytes: usize) -> Result<Bytes, ReadError> {
         let Some(first) = self.next().await? else {
             return Ok(Bytes::new());
@@ -88,13 +88,15 @@
             let whole = whole.get_or_insert_with(|| first.to_vec());
             whole.extend_from_slice(&part);
             if whole.len() > max_bytes {
-                return Err(ReadError::malformed("the body is too long"));
+                return Err(ReadError::malformed(
+                    "the body exceeds the limit for buffered responses",
+                ));
             }
         }
         Ok(whole.map_or(first, Bytes::from))
     }
 
-    /// Returns bytes that have come, at most this many.
+    /// Returns buffered bytes, at most `most`; waits for some if there are none.
     async fn read_part(&mut self, most: u64) -> Result<Bytes, ReadError> {
         if self.connection.buffer.is_empty() && self.connection.fill().await? == 0 {
             return Err(ReadError::Ended);
@@ -104,7 +106,7 @@
         Ok(self.connection.buffer.split_to(bytes).freeze())
     }
 
-    /// Returns the next bytes of a body that ends with its connection.
+    /// Returns the next bytes of a body that ends when its connection closes.
     async fn read_until_close(&mut self) -> Result<Option<Bytes>, ReadError> {
         if self.connection.buffer.is_empty() && self.connection.fill().await? == 0 {
             self.remaining = Remaining::Nothing;
@@ -113,11 +115,11 @@
         Ok(Some(self.connection.buffer.split().freeze()))
     }
 
-    /// Reads the length of a chunk.
+    /// Reads the size line of a chunk.
     async fn read_chunk_size(&mut self) -> Result<(), ReadError> {
         loop {
             let parsed = httparse::parse_chunk_size(&self.connection.buffer);
-            let parsed = parsed.map_err(|_| ReadError::malformed("a chunk has no length"))?;
+            let parsed = parsed.map_err(|_| ReadError::malformed("a chunk has no valid size"))?;
             if let httparse::Status::Complete((head, bytes)) = parsed {
                 let _ = self.connection.buffer.split_to(head);
                 self.remaining = if bytes == 0 {
@@ -137,13 +139,15 @@
     async fn read_chunk_end(&mut self) -> Result<(), ReadError> {
         let line = self.read_line().await?;
         if !line.is_empty() {
-            return Err(ReadError::malformed("a chunk is longer than it says"));
+            return Err(ReadError::malformed(
+                "a chunk is longer than its stated size",
+            ));
         }
         self.remaining = Remaining::ChunkSize;
         Ok(())
     }
 
-    /// Reads one trailer, or the empty line at the end.
+    /// Reads one trailer, or the empty line that ends the body.
     async fn read_trailer(&mut self) -> Result<(), ReadError> {
         if self.read_line().await?.is_empty() {
             self.remaining = Remaining::Nothing;
@@ -151,7 +155,7 @@
         Ok(())
     }
 
-    /// Reads a line without its end.
+    /// Reads a line; returns it without its line end.
     async fn read_line(&mut self) -> Result<Bytes, ReadError> {
         loop {
             let at = self
@@ -171,7 +175,7 @@
     }
 }
 
-/// Finds the framing of a body.
+/// Determines how the body is delimited, from the request method and the response head.
 fn detect_framing(method: &Method, head: &ResponseHead) -> Result<Remaining, ReadError> {
     let has_none = method == Method::HEAD
         || head.status == StatusCode::NO_CONTENT
@@ -183,7 +187,9 @@
         if coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
             return Ok(Remaining::ChunkSize);
         }
-        return Err(ReadError::malformed("the transfer coding is not known"));
+        return Err(ReadError::malformed(
+            "the transfer-encoding is not \"chunked\"",
+        ));
     }
     match content_length(&head.headers)? {
         Some(bytes) => Ok(Remaining::Length(bytes)),
@@ -191,7 +197,7 @@
     }
 }
 
-/// Returns the length that a response states.
+/// Returns the `content-length` of a response; several are accepted if they are equal.
 fn content_length(headers: &HeaderMap) -> Result<Option<u64>, ReadError> {
     let mut length = None;
     for value in headers.get_all(header::CONTENT_LENGTH) {
@@ -199,9 +205,11 @@
             .to_str()
             .ok()
             .and_then(|text| text.parse::<u64>().ok());
-        let bytes = bytes.ok_or(ReadError::malformed("the length is no number"))?;
+        let bytes = bytes.ok_or(ReadError::malformed("the content-length is not a number"))?;
         if length.is_some_and(|known| known != bytes) {
-            return Err(ReadError::malformed("there are two lengths"));
+            return Err(ReadError::malformed(
+                "there are two different content-lengths",
+            ));
         }
         length = Some(bytes);
     }
--- a/crates/relay/src/upstream/connection.rs
+++ b/crates/relay/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream.
+//! An HTTP/1.1 connection to an upstream.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
@@ -8,37 +8,37 @@
 
 use super::Body;
 
-/// Longest head of a response.
+/// Limit for the head of a response.
 const MAX_HEAD_BYTES: usize = 65_536;
 
-/// Headers in a response.
+/// Limit for the number of headers in a response.
 const MAX_HEADERS: usize = 96;
 
-/// Bytes that are read at once.
+/// Buffer space reserved for each read.
 const READ_BUFFER_BYTES: usize = 16_384;
 
 /// Why a response could not be read.
 #[derive(Debug, Display, Error)]
 pub(crate) enum ReadError {
-    /// The connection broke.
+    /// Reading or writing failed.
     #[display("the connection broke ({source})")]
     Broken {
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The connection ended before the response did.
+    /// The upstream closed the connection before the response was complete.
     #[display("the connection ended within the response")]
     Ended,
-    /// The bytes are no HTTP/1.1 response.
+    /// The bytes are not a valid HTTP/1.1 response, or exceed a limit.
     #[display("the response cannot be read ({reason})")]
     Malformed {
-        /// What is wrong.
+        /// Which rule or limit the bytes violate.
         reason: &'static str,
     },
 }
 
 impl ReadError {
-    /// Makes the error of bytes that are no response.
+    /// Creates the error for a response that violates a rule or limit.
     pub fn malformed(reason: &'static str) -> Self {
         Self::Malformed { reason }
     }
@@ -47,33 +47,32 @@
 /// The head of a response.
 #[derive(Debug, Clone)]
 pub(crate) struct ResponseHead {
-    /// The status.
     pub status: StatusCode,
-    /// The headers, as they came.
+    /// All headers, hop-by-hop ones included.
     pub headers: HeaderMap,
-    /// Whether the connection may be used again.
+    /// Whether the upstream keeps the connection open after the response.
     pub is_keep_alive: bool,
 }
 
-/// One connection to an upstream.
+/// One connection to an upstream, with the bytes read ahead on it.
 #[derive(Debug)]
 pub(crate) struct Connection {
     stream: TcpStream,
-    /// Bytes that were read and belong to the response that comes next.
+    /// Bytes that were read but not parsed yet.
     pub(super) buffer: BytesMut,
 }
 
-/// A request that is sent and the head of its response.
+/// The result of sending a request.
 #[derive(Debug)]
 pub(crate) struct Exchange {
-    /// The head of the response.
+    /// The head of the response that followed.
     pub head: ResponseHead,
-    /// Whether the whole request was sent before the response came.
+    /// Whether the whole request was sent before the response started.
     pub is_request_complete: bool,
 }
 
 impl Connection {
-    /// Takes over a stream.
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> Self {
         Self {
             stream,
@@ -81,7 +80,7 @@
         }
     }
 
-    /// Returns whether an idle connection is open and no bytes have come.
+    /// Returns whether the connection is open and has received no unexpected bytes.
     pub fn is_idle_and_open(&self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
@@ -89,9 +88,9 @@
             && read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of the response that follows.
+    /// Sends a request and reads the head of its response.
     ///
-    /// An upstream may answer before it has read the whole request.
+    /// Stops sending when the upstream responds before it has read the whole request.
     pub async fn exchange(&mut self, request: &Bytes) -> Result<Exchange, ReadError> {
         let (mut reader, mut writer) = self.stream.split();
         let mut sent = 0;
@@ -117,7 +116,7 @@
                 head,
                 is_request_complete: is_sent,
             }),
-            // Where both failed, the write failed first and says why.
+            // If both failed, the write failed first and shows the cause.
             Err(error) => Err(write_error.map_or(error, |source| ReadError::Broken { source })),
         }
     }
@@ -127,14 +126,14 @@
         loop {
             if let Some((head, bytes)) = parse_head(&self.buffer)? {
                 let _ = self.buffer.split_to(bytes);
-                // Interim responses announce the one that counts.
+                // Interim (1xx) responses precede the final one.
                 if !head.status.is_informational() {
                     return Ok(head);
                 }
                 continue;
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(ReadError::malformed("the head is too long"));
+                return Err(ReadError::malformed("the head exceeds the limit"));
             }
             if self.fill().await? == 0 {
                 return Err(ReadError::Ended);
@@ -142,12 +141,12 @@
         }
     }
 
-    /// Returns the body of a response.
+    /// Returns a reader for the body that follows a head.
     pub fn body(&mut self, method: &Method, head: &ResponseHead) -> Result<Body<'_>, ReadError> {
         Body::new(self, method, head)
     }
 
-    /// Reads more bytes; 0 at the end of the connection.
+    /// Reads more bytes into the buffer; returns their number, 0 when the connection is closed.
     pub(super) async fn fill(&mut self) -> Result<usize, ReadError> {
         self.buffer.reserve(READ_BUFFER_BYTES);
         self.stream
@@ -157,26 +156,28 @@
     }
 }
 
-/// Parses the head of a response; `None` if it is not complete.
+/// Parses the head of a response and returns its length; `None` if it is incomplete.
 fn parse_head(buffer: &[u8]) -> Result<Option<(ResponseHead, usize)>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let parsed = response
         .parse(buffer)
-        .map_err(|_| ReadError::malformed("the head is no HTTP"))?;
+        .map_err(|_| ReadError::malformed("the head is not valid HTTP"))?;
     let httparse::Status::Complete(bytes) = parsed else {
         return Ok(None);
     };
     let status = response
         .code
         .and_then(|code| StatusCode::from_u16(code).ok());
-    let status = status.ok_or(ReadError::malformed("the status is no number"))?;
+    let status = status.ok_or(ReadError::malformed("the status code is not valid"))?;
     let mut map = HeaderMap::with_capacity(response.headers.len());
     for field in response.headers.iter() {
         let name = HeaderName::from_bytes(field.name.as_bytes());
         let value = HeaderValue::from_bytes(field.value);
         let (Ok(name), Ok(value)) = (name, value) else {
-            return Err(ReadError::malformed("a header cannot be read"));
+            return Err(ReadError::malformed(
+                "a header has an invalid name or value",
+            ));
         };
         map.append(name, value);
     }
@@ -189,7 +190,7 @@
     Ok(Some((head, bytes)))
 }
 
-/// Returns whether the sender closes the connection after the response.
+/// Returns whether the headers contain `connection: close`.
 fn has_close_option(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
     values
--- a/crates/relay/src/upstream/events.rs
+++ b/crates/relay/src/upstream/events.rs
@@ -1,31 +1,31 @@
-//! Divides a stream into whole events.
+//! Splits a server-sent event stream into events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event of a stream.
+/// One complete event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Event {
-    /// Its bytes, with the empty line at its end.
+    /// The raw event, including the empty line that ends it.
     pub bytes: Bytes,
-    /// Its identity, if it states one.
+    /// Its ID; `None` without an `id` field that is a number.
     pub id: Option<u64>,
 }
 
-/// Divides a stream into whole events, so that a broken one is never passed on.
+/// Splits a stream into complete events, so that a partial one is never forwarded.
 #[derive(Debug, Default)]
 pub(crate) struct EventReader {
     buffer: BytesMut,
-    /// Bytes at the start of the buffer that hold no end of an event.
+    /// Bytes at the start of the buffer that contain no end of an event.
     searched_len: usize,
 }
 
 impl EventReader {
-    /// Adds bytes of the stream.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next(&mut self) -> Option<Event> {
         let end = self.find_event_end()?;
         self.searched_len = 0;
@@ -34,12 +34,12 @@
         Some(Event { bytes, id })
     }
 
-    /// Returns whether the stream has ended within an event.
+    /// Returns whether bytes of an incomplete event are left.
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Finds the end of the first event: an empty line.
+    /// Finds the end of the first event, which is an empty line.
     fn find_event_end(&mut self) -> Option<usize> {
         let from = self.searched_len.saturating_sub(3);
         let rest = &self.buffer[from..];
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns the identity that an event states.
+/// Parses the `id` field of an event.
 fn parse_event_id(event: &[u8]) -> Option<u64> {
     event.split(|byte| *byte == b'\n').find_map(|line| {
         let value = line.strip_prefix(b"id:")?;
--- a/crates/relay/src/upstream/mod.rs
+++ b/crates/relay/src/upstream/mod.rs
@@ -1,8 +1,8 @@
-//! The client of upstreams.
+//! The HTTP/1.1 client for upstreams.
 //!
-//! [`pool`] keeps connections, [`connection`] sends a request and reads the head of its
-//! response, [`body`] reads the body in its framing, and [`events`] divides a stream. Nothing
-//! here repeats a request: what may be repeated is the core's decision.
+//! [`pool`] holds idle connections, [`connection`] sends a request and reads the head of its
+//! response, [`body`] decodes the body, and [`events`] splits a stream into events. Nothing here
+//! retries a request: the core decides which requests may be retried.
 
 mod body;
 mod connection;
--- a/crates/relay/src/upstream/pool.rs
+++ b/crates/relay/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Keeps connections to upstreams.
+//! The pool of idle connections to upstreams, and probes of upstreams.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,39 +17,39 @@
 use crate::control::InputSender;
 use crate::metrics::Metrics;
 
-/// Longest wait for a new connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time after which sent bytes that are not acknowledged break a connection.
+/// Time after which unacknowledged data closes a connection (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Idle time after which a connection is closed if the upstream states none.
+/// Idle time after which a connection is closed if the upstream states no keep-alive timeout.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Connections are closed this much before the upstream would close them.
+/// Connections are closed this long before the upstream would close them.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Idle time after which a call that may not be repeated gets a new connection.
+/// Longest idle time of a connection that is reused for a call that must not be repeated.
 const MAX_UNREPEATABLE_IDLE: Duration = Duration::from_millis(2_500);
 
-/// Idle connections to one upstream.
+/// Limit for idle connections to one upstream.
 const MAX_IDLE_PER_UPSTREAM: usize = 24;
 
-/// No connection to an upstream could be made.
+/// A connection to an upstream could not be opened.
 #[derive(Debug, Display, Error)]
 pub(crate) enum ConnectError {
-    /// The upstream refused it.
+    /// The connection was refused or failed at once.
     #[display("the upstream refused the connection ({source})")]
     Refused {
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The upstream did not answer.
+    /// The upstream did not respond within the connect timeout.
     #[display("the upstream did not answer in time")]
     TimedOut,
 }
 
-/// A connection that is not in use.
+/// A connection in the pool.
 #[derive(Debug)]
 struct IdleConnection {
     connection: Connection,
@@ -57,14 +57,14 @@
     expires_at: Instant,
 }
 
-/// Connections to upstreams that are not in use, by address.
+/// Idle connections to upstreams, by address.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: Mutex<HashMap<Arc<str>, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// Returns a kept connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     pub async fn acquire(
         &self,
         address: &Arc<str>,
@@ -79,7 +79,7 @@
         connect(address).await
     }
 
-    /// Returns a kept connection that still works as far as can be seen.
+    /// Removes and returns the last added connection that appears to be usable.
     fn take_idle(&self, address: &Arc<str>, is_repeatable: bool) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
@@ -88,7 +88,7 @@
         while let Some(entry) = connections.pop() {
             let is_fresh =
                 is_repeatable || now.duration_since(entry.idle_since) < MAX_UNREPEATABLE_IDLE;
-            // Bytes without a request, or an end, make a connection useless.
+            // A connection that was closed or has unexpected bytes is dropped.
             if is_fresh && entry.connection.is_idle_and_open() {
                 return Some(entry.connection);
             }
@@ -96,7 +96,7 @@
         None
     }
 
-    /// Keeps a connection for the next request.
+    /// Adds a connection to the pool, unless it is about to expire or the pool is full.
     pub fn put_idle(&self, address: &Arc<str>, connection: Connection, keep_alive_s: Option<u64>) {
         let now = Instant::now();
         let idle_time = keep_alive_s.map_or(IDLE_TIMEOUT, Duration::from_secs);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Closes connections whose time is over.
+    /// Closes connections that have expired, were closed or received unexpected bytes.
     pub fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
@@ -127,7 +127,7 @@
     }
 }
 
-/// Makes a connection to an upstream.
+/// Opens a connection to an upstream.
 async fn connect(address: &str) -> Result<Connection, ConnectError> {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
@@ -135,15 +135,15 @@
         Err(_) => return Err(ConnectError::TimedOut),
     };
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(address, "upstream: no-delay cannot be set ({error})");
+        tracing::debug!(address, "upstream: cannot set TCP_NODELAY ({error})");
     }
     if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)) {
-        tracing::debug!(address, "upstream: user timeout cannot be set ({error})");
+        tracing::debug!(address, "upstream: cannot set TCP_USER_TIMEOUT ({error})");
     }
     Ok(Connection::new(stream))
 }
 
-/// Connects to upstreams whose connections broke, and keeps the connections.
+/// Probes upstreams on request by connecting to them, and pools the new connections.
 pub(crate) async fn run_probes(
     mut requests: mpsc::Receiver<ProbeRequest>,
     pool: Arc<Pool>,
