--- a/crates/entry/src/bin/knapweeddale-entry.rs
+++ b/crates/entry/src/bin/knapweeddale-entry.rs
@@ -45,7 +45,7 @@
     let api = HttpObjectApi::builder().base_url(&settings.store).build()?;
     let daemon = Daemon::start(settings, &secret, api, MonotonicClock::start()).await?;
     wait_for_signal(&mut terminate, &mut interrupt).await;
-    let cut = daemon.cut_list();
+    let cut = daemon.unfinished_calls();
     tokio::select! {
         () = daemon.stop() => Ok(ExitCode::SUCCESS),
         () = wait_for_signal(&mut terminate, &mut interrupt) => {
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -1,9 +1,9 @@
 //! The control thread: the only owner of the core's state.
 
 mod input;
-mod outlets;
+mod output_dispatcher;
 mod status;
 
 pub(crate) use input::{CallOutput, InputSender, Message};
-pub(crate) use outlets::Outlets;
+pub(crate) use output_dispatcher::OutputDispatcher;
 pub(crate) use status::{Status, StatusReader};
--- a/crates/entry/src/control/outlets.rs
+++ b/crates/entry/src/control/output_dispatcher.rs
@@ -18,21 +18,21 @@
 use super::input::{CallOutput, Message};
 use super::status::Status;
 use crate::metrics::Metrics;
-use crate::store::ViewOrder;
+use crate::store::ViewRequest;
 use crate::upstream::ReleaseOrder;
 
 /// Addresses of VMs that are in no view; more than join or leave at once.
-const MAX_STRANGERS: usize = 64;
+const MAX_NON_MEMBER_ADDRESSES: usize = 64;
 
 /// The receivers of outputs. Each has a bounded queue, and none is waited for.
 #[derive(Debug)]
-pub(crate) struct Outlets {
+pub(crate) struct OutputDispatcher {
     pub vm: VmName,
     pub peers: Peers,
-    pub views: mpsc::Sender<ViewOrder>,
-    pub releases: mpsc::Sender<ReleaseOrder>,
-    pub probes: mpsc::Sender<ProbeRequest>,
-    pub orders: mpsc::Sender<Order>,
+    pub view_requests: mpsc::Sender<ViewRequest>,
+    pub release_requests: mpsc::Sender<ReleaseOrder>,
+    pub probe_requests: mpsc::Sender<ProbeRequest>,
+    pub model_orders: mpsc::Sender<Order>,
     pub charges: mpsc::Sender<Charge>,
     pub status: watch::Sender<Status>,
     pub lease_until_us: Arc<AtomicU64>,
@@ -41,19 +41,19 @@
     /// Addresses as other VMs stated them; those that join or leave are in no view.
     pub addresses: HashMap<VmName, String>,
     /// Inputs that follow from outputs which could not be handed over.
-    pub echo: Vec<Input>,
+    pub pending_inputs: Vec<Input>,
 }
 
 /// # Calls
-impl Outlets {
+impl OutputDispatcher {
     /// Registers the receiver of a call's outputs.
-    pub fn open(&mut self, call: CallId, outputs: mpsc::Sender<CallOutput>) {
+    pub fn open_call(&mut self, call: CallId, outputs: mpsc::Sender<CallOutput>) {
         self.calls.insert(call, outputs);
     }
 
     /// Hands an output to a call. A call never has more outputs waiting than
     /// its channel holds, so a failure means that its task has ended.
-    fn hand(&mut self, call: CallId, output: CallOutput) {
+    fn send_to_call(&mut self, call: CallId, output: CallOutput) {
         let Some(outputs) = self.calls.get(&call) else {
             return;
         };
@@ -65,30 +65,30 @@
             let progress = AttemptProgress::Failed(Failure::NotSent);
             let attempt = dispatch.attempt;
             let event = AttemptEvent { attempt, progress };
-            self.echo.push(Input::Attempt(event));
+            self.pending_inputs.push(Input::Attempt(event));
         }
     }
 
     /// Hands the last output to a call.
-    fn close(&mut self, call: CallId, output: CallOutput) {
-        self.hand(call, output);
+    fn close_call(&mut self, call: CallId, output: CallOutput) {
+        self.send_to_call(call, output);
         self.calls.remove(&call);
     }
 }
 
 /// # Outputs
-impl Outlets {
+impl OutputDispatcher {
     /// Carries one output to its receiver.
-    fn hand_over(&mut self, output: Output, control: &Control, now_us: u64) {
+    fn dispatch_output(&mut self, output: Output, control: &Control, now_us: u64) {
         match output {
             Output::Dispatch(dispatch) => {
-                self.hand(dispatch.attempt.call, CallOutput::Dispatch(dispatch));
+                self.send_to_call(dispatch.attempt.call, CallOutput::Dispatch(dispatch));
             }
-            Output::CancelAttempt(attempt) => self.hand(attempt.call, CallOutput::Cancel(attempt)),
+            Output::CancelAttempt(id) => self.send_to_call(id.call, CallOutput::Cancel(id)),
             Output::Answered(answered) => {
-                self.close(answered.call, CallOutput::Answered(answered));
+                self.close_call(answered.call, CallOutput::Answered(answered));
             }
-            Output::Refused(refusal) => self.close(refusal.call, CallOutput::Refused(refusal)),
+            Output::Refused(refusal) => self.close_call(refusal.call, CallOutput::Refused(refusal)),
             Output::Replay {
                 call,
                 vm,
@@ -96,7 +96,7 @@
                 continuation,
                 permit,
             } => {
-                let address = || self.address_of(control, &vm).unwrap_or_default();
+                let address = || self.find_address(control, &vm).unwrap_or_default();
                 let peer = (vm != self.vm).then(address);
                 let replay = CallOutput::Replay {
                     peer,
@@ -104,19 +104,24 @@
                     continuation,
                     permit,
                 };
-                self.close(call, replay);
+                self.close_call(call, replay);
             }
             Output::PermitIssued { request, permit } => {
-                self.close(request, CallOutput::Permit(permit));
+                self.close_call(request, CallOutput::Permit(permit));
             }
-            Output::ProgramEnded { request } => self.close(request, CallOutput::Ended),
-            Output::Send { to, message } => match self.address_of(control, &to) {
+            Output::ProgramEnded { request } => self.close_call(request, CallOutput::Ended),
+            Output::Send { to, message } => match self.find_address(control, &to) {
                 Some(address) => self.peers.send(&to, &address, message),
                 None => self.metrics.count_unaddressed(),
             },
             Output::Store(request) => {
-                if self.views.try_send(ViewOrder { request, now_us }).is_err() {
-                    self.echo.push(Input::Store(StoreEvent::Unavailable));
+                if self
+                    .view_requests
+                    .try_send(ViewRequest { request, now_us })
+                    .is_err()
+                {
+                    self.pending_inputs
+                        .push(Input::Store(StoreEvent::Unavailable));
                 }
             }
             Output::ReleaseMemory {
@@ -129,7 +134,7 @@
                     return;
                 };
                 // The core repeats a release that is not confirmed.
-                let _ = self.releases.try_send(ReleaseOrder {
+                let _ = self.release_requests.try_send(ReleaseOrder {
                     upstream,
                     address,
                     program,
@@ -139,20 +144,20 @@
             // Only under `Coordination::Peers`, which this daemon does not use.
             Output::Source(_) | Output::SendSummary { .. } | Output::AskSnapshot { .. } => {}
             Output::Probe(upstream) => {
-                self.echo
-                    .extend(request_probe(&self.probes, upstream, control));
+                self.pending_inputs
+                    .extend(request_probe(&self.probe_requests, upstream, control));
             }
-            Output::Order(order) => self.order(*order),
-            Output::Charge(charge) => self.charge(charge),
-            Output::Decision(decision) => self.log(&decision),
+            Output::Order(order) => self.send_order(*order),
+            Output::Charge(charge) => self.record_charge(charge),
+            Output::Decision(decision) => self.log_decision(&decision),
         }
     }
 
     /// Sends an order on its way; one that cannot be sent counts as unanswered.
-    fn order(&mut self, order: Order) {
-        if let Err(error) = self.orders.try_send(order) {
+    fn send_order(&mut self, order: Order) {
+        if let Err(error) = self.model_orders.try_send(order) {
             let order = error.into_inner();
-            self.echo.push(Input::OrderResult {
+            self.pending_inputs.push(Input::OrderResult {
                 upstream: order.upstream,
                 token: order.token,
                 result: OrderResult::Unknown,
@@ -161,7 +166,7 @@
     }
 
     /// Keeps a charge record.
-    fn charge(&mut self, charge: Charge) {
+    fn record_charge(&mut self, charge: Charge) {
         self.metrics.count_charge(&charge);
         if let Err(error) = self.charges.try_send(charge) {
             let charge = error.into_inner();
@@ -171,7 +176,7 @@
     }
 
     /// Logs a decision.
-    fn log(&self, decision: &Decision) {
+    fn log_decision(&self, decision: &Decision) {
         self.metrics.count_decision(decision);
         tracing::info!("{decision}");
     }
@@ -188,8 +193,8 @@
         if self.status.borrow().is_current(control) {
             return;
         }
-        let status = Status::of(control);
-        self.forget_addresses(&status.view);
+        let status = Status::from_control(control);
+        self.update_addresses(&status.view);
         self.peers.retain(|vm| self.addresses.contains_key(vm));
         self.metrics.set_epoch(status.view.epoch);
         self.metrics.set_revision(status.fleet.revision);
@@ -198,7 +203,7 @@
 }
 
 /// # Loop
-impl knapweeddale_runtime::OutputHandler for Outlets {
+impl knapweeddale_runtime::OutputHandler for OutputDispatcher {
     type Message = Message;
 
     fn accept_message(
@@ -215,11 +220,11 @@
                 input,
                 outputs,
             } => {
-                self.open(call, outputs);
+                self.open_call(call, outputs);
                 inputs.push(input);
             }
             Message::Delivery(delivery) => {
-                self.learn_address(&delivery.from, &delivery.address);
+                self.record_address(&delivery.from, &delivery.address);
                 let (from, incarnation) = (delivery.from, delivery.incarnation);
                 let messages = delivery.messages.into_iter().map(|message| Input::Peer {
                     from: from.clone(),
@@ -234,7 +239,7 @@
     }
 
     fn handle_output(&mut self, output: Output, control: &Control, now_us: u64) {
-        self.hand_over(output, control, now_us);
+        self.dispatch_output(output, control, now_us);
     }
 
     fn publish_status(&mut self, control: &Control, now_us: u64) {
@@ -242,11 +247,11 @@
     }
 
     fn has_pending_inputs(&self) -> bool {
-        !self.echo.is_empty()
+        !self.pending_inputs.is_empty()
     }
 
     fn take_pending_inputs(&mut self) -> Vec<Input> {
-        std::mem::take(&mut self.echo)
+        std::mem::take(&mut self.pending_inputs)
     }
 
     fn count_tick(&self, inputs: usize, took: Duration) {
@@ -255,28 +260,28 @@
 }
 
 /// # Addresses
-impl Outlets {
+impl OutputDispatcher {
     /// Keeps the address that another VM stated.
-    pub fn learn_address(&mut self, vm: &VmName, address: &str) {
+    pub fn record_address(&mut self, vm: &VmName, address: &str) {
         if self.addresses.get(vm).is_none_or(|known| known != address) {
             self.addresses.insert(vm.clone(), address.to_owned());
         }
     }
 
     /// Returns the address of another VM.
-    fn address_of(&self, control: &Control, vm: &VmName) -> Option<String> {
+    fn find_address(&self, control: &Control, vm: &VmName) -> Option<String> {
         let member = control.tables().view.member(vm);
         let known = || self.addresses.get(vm).cloned();
         member.map(|row| row.address.clone()).or_else(known)
     }
 
     /// Takes the addresses of a view, and forgets others once there are many.
-    fn forget_addresses(&mut self, view: &View) {
-        if self.addresses.len() > 2 * view.members.len() + MAX_STRANGERS {
+    fn update_addresses(&mut self, view: &View) {
+        if self.addresses.len() > 2 * view.members.len() + MAX_NON_MEMBER_ADDRESSES {
             self.addresses.clear();
         }
         for member in &view.members {
-            self.learn_address(&member.vm, &member.address);
+            self.record_address(&member.vm, &member.address);
         }
     }
 }
--- a/crates/entry/src/control/status.rs
+++ b/crates/entry/src/control/status.rs
@@ -30,7 +30,7 @@
     }
 
     /// Copies the status from the control value.
-    pub fn of(control: &Control) -> Self {
+    pub fn from_control(control: &Control) -> Self {
         let tables = control.tables();
         Self {
             fleet: Arc::clone(&tables.fleet),
@@ -40,7 +40,7 @@
     }
 
     /// Returns the account that a key belongs to, whether or not it is valid.
-    pub fn account_of(&self, key: &KeyId) -> Option<&AccountName> {
+    pub fn account_for_key(&self, key: &KeyId) -> Option<&AccountName> {
         let mut accounts = self.fleet.accounts.iter();
         let account = accounts.find(|account| account.keys.iter().any(|row| row.id == *key));
         account.map(|account| &account.name)
--- a/crates/entry/src/daemon/background.rs
+++ b/crates/entry/src/daemon/background.rs
@@ -13,18 +13,18 @@
 
 use crate::front::Shared;
 use crate::known_peers::ask_known_peers;
-use crate::store::{ViewOrder, poll_vms, serve_views, watch_config};
+use crate::store::{ViewRequest, poll_vms, serve_views, watch_config};
 use crate::upstream::{ReleaseOrder, poll_loads, serve_orders, serve_probes, serve_releases};
 
 /// Time between two updates of the counts of store calls.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The queues of orders from the control thread.
-pub(super) struct Orders {
-    pub views: mpsc::Receiver<ViewOrder>,
-    pub releases: mpsc::Receiver<ReleaseOrder>,
-    pub probes: mpsc::Receiver<ProbeRequest>,
-    pub models: mpsc::Receiver<Order>,
+pub(super) struct OutputQueues {
+    pub view_requests: mpsc::Receiver<ViewRequest>,
+    pub release_requests: mpsc::Receiver<ReleaseOrder>,
+    pub probe_requests: mpsc::Receiver<ProbeRequest>,
+    pub model_orders: mpsc::Receiver<Order>,
 }
 
 /// Starts the tasks that end with the process.
@@ -32,27 +32,32 @@
     api: &Arc<Counted<A>>,
     shared: &Arc<Shared<C>>,
     settings: &Settings,
-    orders: Orders,
+    queues: OutputQueues,
 ) -> JoinSet<()> {
     let inputs = || shared.inputs.clone();
     let status = || shared.status.clone();
     let client = || shared.upstream.clone();
     let vm = || shared.vm.clone();
     let mut tasks = JoinSet::new();
-    tasks.spawn(serve_views(Arc::clone(api), orders.views, inputs()));
+    tasks.spawn(serve_views(Arc::clone(api), queues.view_requests, inputs()));
     tasks.spawn(watch_config(Arc::clone(api), settings.vm.clone(), inputs()));
     tasks.spawn(poll_vms(Arc::clone(api), vm(), status(), inputs()));
     tasks.spawn(poll_loads(client(), vm(), status(), inputs()));
-    tasks.spawn(serve_releases(client(), orders.releases, inputs()));
+    tasks.spawn(serve_releases(client(), queues.release_requests, inputs()));
     tasks.spawn(serve_orders(
         client(),
         shared.clock.clone(),
         settings.order_ms,
-        orders.models,
+        queues.model_orders,
         inputs(),
     ));
     let last_alive = shared.last_alive.clone();
-    tasks.spawn(serve_probes(client(), orders.probes, last_alive, inputs()));
+    tasks.spawn(serve_probes(
+        client(),
+        queues.probe_requests,
+        last_alive,
+        inputs(),
+    ));
     let peers = settings.known_peers.clone();
     let options = shared.peer_options.clone();
     tasks.spawn(ask_known_peers(options, peers, status()));
--- a/crates/entry/src/daemon/mod.rs
+++ b/crates/entry/src/daemon/mod.rs
@@ -1,13 +1,13 @@
 //! The daemon: starts all parts and stops them without cutting calls.
 
 mod background;
+mod channels;
 mod error;
-mod links;
 mod server;
 mod stop;
 
 pub use error::StartError;
-pub use stop::CutList;
+pub use stop::UnfinishedCalls;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,10 +30,10 @@
 use crate::front::Shared;
 use crate::inbox::Inbox;
 use crate::metrics::Metrics;
-use crate::store::{ChargeWriter, ViewOrder};
+use crate::store::{ChargeWriter, ViewRequest};
 use crate::upstream::{LastAlive, UpstreamClient};
+use channels::OutputChannels;
 use knapweeddale_runtime::{CallIds, Clock, input_queue, new_incarnation, spawn_control_loop};
-use links::Links;
 use server::Server;
 
 /// A running daemon.
@@ -47,7 +47,7 @@
     /// Tasks that end with the process.
     background: JoinSet<()>,
     drain_notice: Duration,
-    drain: Duration,
+    drain_timeout: Duration,
 }
 
 /// Reads the secret of the fleet.
@@ -86,14 +86,14 @@
         core.address = listener.local_addr()?.to_string();
         let (inputs, queue) = input_queue(settings.input_queue_len);
         let (status_sender, status) = watch::channel(Status::default());
-        let shared = share(&settings, &core, secret, (inputs, status), clock.clone())?;
-        let links = Links::new(&shared, status_sender);
-        let first_read = ViewOrder {
+        let shared = build_shared_state(&settings, &core, secret, (inputs, status), clock.clone())?;
+        let channels = OutputChannels::new(&shared, status_sender);
+        let first_read = ViewRequest {
             request: StoreRequest::Read,
             now_us: clock.now_us(),
         };
         // The queue is empty, so that there is room.
-        let _ = links.outlets.views.try_send(first_read);
+        let _ = channels.dispatcher.view_requests.try_send(first_read);
         let writer = ChargeWriter::new(
             Arc::clone(&api),
             &settings.vm,
@@ -101,15 +101,15 @@
             settings.data_folder.clone(),
             Arc::clone(&shared.metrics),
         );
-        let control = spawn_control_loop(Control::new(core), queue, links.outlets, clock)?;
+        let control = spawn_control_loop(Control::new(core), queue, channels.dispatcher, clock)?;
         let peers = PeerServer::start(
             listener,
             shared.peer_options.clone(),
             Arc::new(Inbox(Arc::clone(&shared))),
             Arc::clone(&shared.peer_counts),
         )?;
-        let charges = tokio::spawn(writer.run(links.charges));
-        let background = background::start(&api, &shared, &settings, links.orders);
+        let charges = tokio::spawn(writer.run(channels.charges));
+        let background = background::start(&api, &shared, &settings, channels.queues);
         let server = server::start(settings.listen, &shared).await?;
         let address = server.address;
         tracing::info!("membership: {} serves callers at {address}", shared.vm);
@@ -121,13 +121,13 @@
             charges,
             background,
             drain_notice: Duration::from_millis(settings.drain_notice_ms),
-            drain: Duration::from_millis(settings.drain_ms),
+            drain_timeout: Duration::from_millis(settings.drain_ms),
         })
     }
 }
 
 /// Makes what all requests share.
-fn share<C: Clock>(
+fn build_shared_state<C: Clock>(
     settings: &Settings,
     core: &CoreSettings,
     secret: &[u8],
@@ -174,7 +174,7 @@
     }
 
     /// Waits until the VM is configured, a member and under lease.
-    pub async fn ready(&self) {
+    pub async fn wait_until_ready(&self) {
         let mut status = self.shared.status.clone();
         while !self.shared.unready_reasons().is_empty() {
             // The lease is no part of the status, so the wait is short as well.
@@ -183,7 +183,7 @@
     }
 
     /// Returns what lists the calls that a forced end cuts.
-    pub fn cut_list(&self) -> CutList {
-        CutList(self.shared.in_flight.clone())
+    pub fn unfinished_calls(&self) -> UnfinishedCalls {
+        UnfinishedCalls(self.shared.in_flight.clone())
     }
 }
--- a/crates/entry/src/daemon/stop.rs
+++ b/crates/entry/src/daemon/stop.rs
@@ -13,7 +13,7 @@
 use knapweeddale_runtime::Clock;
 
 /// Longest wait for the last charge records when the process ends.
-const CHARGES_TIMEOUT: Duration = Duration::from_secs(5);
+const CHARGE_FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// # Stop
 impl<C: Clock> Daemon<C> {
@@ -25,20 +25,20 @@
         shared.inputs.send_input(Input::Drain).await;
         // The load balancer keeps sending calls until it sees the readiness.
         sleep(self.drain_notice).await;
-        let left = has_left(shared.status.clone());
+        let left = wait_until_left(shared.status.clone());
         let drained = async {
             left.await;
             shared.in_flight.wait_until_empty().await;
         };
-        if timeout(self.drain, drained).await.is_err() {
-            self.cut_list().log("`drain_ms`");
+        if timeout(self.drain_timeout, drained).await.is_err() {
+            self.unfinished_calls().log("`drain_ms`");
         }
         self.server.stop().await;
         // Fails only if the control thread has ended already.
         let _ = shared.inputs.send(Message::Stop).await;
         let control = self.control;
         let _ = tokio::task::spawn_blocking(move || control.join()).await;
-        if timeout(CHARGES_TIMEOUT, self.charges).await.is_err() {
+        if timeout(CHARGE_FLUSH_TIMEOUT, self.charges).await.is_err() {
             tracing::error!("charges: the last records are not stored");
         }
         self.background.abort_all();
@@ -47,16 +47,16 @@
 }
 
 /// Waits until the VM has handed over everything.
-async fn has_left(mut status: StatusReader) {
+async fn wait_until_left(mut status: StatusReader) {
     // Fails only if the control thread has ended.
     let _ = status.wait_for(|status| status.has_left).await;
 }
 
 /// The calls that a forced end cuts.
 #[derive(Debug, Clone)]
-pub struct CutList(pub(super) InFlight);
+pub struct UnfinishedCalls(pub(super) InFlight);
 
-impl CutList {
+impl UnfinishedCalls {
     /// Logs the calls that are cut.
     pub fn log(&self, cause: &str) {
         let calls = self.0.calls();
--- a/crates/entry/src/front/headers.rs
+++ b/crates/entry/src/front/headers.rs
@@ -110,7 +110,7 @@
     ) -> Result<Continuation, FrontError> {
         let continuation: Continuation = self.signer.verify(text).map_err(FrontError::malformed)?;
         let status = self.status.borrow();
-        let account = key.and_then(|key| status.account_of(key.id()));
+        let account = key.and_then(|key| status.account_for_key(key.id()));
         let is_account = account.is_none_or(|account| *account == continuation.program.account);
         if continuation.program.name != *name || !is_account {
             let detail = "kwd-continuation belongs to another program";
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -16,7 +16,7 @@
 mod store;
 mod upstream;
 
-pub use daemon::{CutList, Daemon, StartError, read_secret};
+pub use daemon::{Daemon, StartError, UnfinishedCalls, read_secret};
 pub use knapweeddale_runtime::{Clock, MonotonicClock};
 pub use metrics::Metrics;
 pub use options::Options;
--- a/crates/entry/src/store/charges.rs
+++ b/crates/entry/src/store/charges.rs
@@ -21,7 +21,7 @@
 
 /// Bytes of batches kept in memory while the store is down: at 300 bytes a
 /// record, 300 calls a second for six minutes.
-const MAX_KEPT_BYTES: usize = 32 * 1024 * 1024;
+const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 
 /// A charge record as it is stored, one JSON object a line.
 #[derive(Debug, Serialize)]
@@ -60,11 +60,11 @@
     api: Arc<A>,
     prefix: String,
     next_batch: u64,
-    open: Vec<u8>,
+    open_batch: Vec<u8>,
     /// Batches that are not stored yet, with their key.
-    kept: VecDeque<(String, Vec<u8>)>,
-    kept_bytes: usize,
-    folder: Option<PathBuf>,
+    queued: VecDeque<(String, Vec<u8>)>,
+    queued_bytes: usize,
+    data_folder: Option<PathBuf>,
     backoff: Backoff,
     metrics: Arc<Metrics>,
 }
@@ -75,17 +75,17 @@
         api: Arc<A>,
         vm: &str,
         incarnation: Incarnation,
-        folder: Option<PathBuf>,
+        data_folder: Option<PathBuf>,
         metrics: Arc<Metrics>,
     ) -> Self {
         Self {
             api,
             prefix: format!("{CHARGES_PREFIX}{vm}/{incarnation}"),
             next_batch: 0,
-            open: Vec::new(),
-            kept: VecDeque::new(),
-            kept_bytes: 0,
-            folder,
+            open_batch: Vec::new(),
+            queued: VecDeque::new(),
+            queued_bytes: 0,
+            data_folder,
             backoff: Backoff::new(vm),
             metrics,
         }
@@ -93,7 +93,7 @@
 
     /// Writes records until the control thread ends, then what is left.
     pub async fn run(mut self, mut charges: mpsc::Receiver<Charge>) {
-        self.load_kept();
+        self.load_saved();
         let mut flush_at = Instant::now() + BATCH_INTERVAL;
         loop {
             tokio::select! {
@@ -101,8 +101,8 @@
                     let Some(charge) = charge else {
                         break;
                     };
-                    self.add(&charge);
-                    if self.open.len() < MAX_BATCH_BYTES {
+                    self.append(&charge);
+                    if self.open_batch.len() < MAX_BATCH_BYTES {
                         continue;
                     }
                 }
@@ -118,39 +118,39 @@
             flush_at = Instant::now() + wait;
         }
         if !self.flush().await {
-            let left = self.kept.len();
+            let left = self.queued.len();
             tracing::error!("charges: {left} batches are not stored; the store did not answer");
         }
     }
 
     /// Adds a record to the open batch.
-    fn add(&mut self, charge: &Charge) {
-        if serde_json::to_writer(&mut self.open, &Record::from(charge)).is_ok() {
-            self.open.push(b'\n');
+    fn append(&mut self, charge: &Charge) {
+        if serde_json::to_writer(&mut self.open_batch, &Record::from(charge)).is_ok() {
+            self.open_batch.push(b'\n');
         }
     }
 
     /// Closes the open batch and stores all batches; returns whether none is left.
     async fn flush(&mut self) -> bool {
-        if !self.open.is_empty() {
+        if !self.open_batch.is_empty() {
             let key = format!("{}/{}", self.prefix, self.next_batch);
             self.next_batch += 1;
-            let batch = std::mem::take(&mut self.open);
-            self.keep(key, batch);
+            let batch = std::mem::take(&mut self.open_batch);
+            self.enqueue(key, batch);
         }
-        while let Some((key, batch)) = self.kept.front() {
+        while let Some((key, batch)) = self.queued.front() {
             match self.api.put(key, batch.clone(), 0).await {
                 Ok(_) => {}
                 // Only this process writes the key, so an earlier write took effect.
                 Err(StoreError::Conflict { .. }) => {}
                 Err(error) => {
                     tracing::warn!("charges: {error}");
-                    self.save_kept();
+                    self.save_queued();
                     return false;
                 }
             }
-            if let Some((key, batch)) = self.kept.pop_front() {
-                self.kept_bytes -= batch.len();
+            if let Some((key, batch)) = self.queued.pop_front() {
+                self.queued_bytes -= batch.len();
                 self.remove_saved(&key);
             }
         }
@@ -158,14 +158,14 @@
     }
 
     /// Keeps a batch until it is stored; the oldest ones give way when there are too many.
-    fn keep(&mut self, key: String, batch: Vec<u8>) {
-        self.kept_bytes += batch.len();
-        self.kept.push_back((key, batch));
-        while self.kept_bytes > MAX_KEPT_BYTES {
-            let Some((key, batch)) = self.kept.pop_front() else {
+    fn enqueue(&mut self, key: String, batch: Vec<u8>) {
+        self.queued_bytes += batch.len();
+        self.queued.push_back((key, batch));
+        while self.queued_bytes > MAX_QUEUED_BYTES {
+            let Some((key, batch)) = self.queued.pop_front() else {
                 return;
             };
-            self.kept_bytes -= batch.len();
+            self.queued_bytes -= batch.len();
             self.metrics.count_lost_charge();
             tracing::error!("charges: dropped batch {key} from memory; the store is down too long");
         }
@@ -175,15 +175,15 @@
 /// # Data folder
 impl<A> ChargeWriter<A> {
     /// Returns the file of a batch.
-    fn file(&self, key: &str) -> Option<PathBuf> {
+    fn batch_file(&self, key: &str) -> Option<PathBuf> {
         let name = format!("{}.jsonl", key.replace('/', "+"));
-        Some(self.folder.as_ref()?.join(name))
+        Some(self.data_folder.as_ref()?.join(name))
     }
 
     /// Writes the batches in memory to the data folder.
-    fn save_kept(&self) {
-        for (key, batch) in &self.kept {
-            let Some(file) = self.file(key).filter(|file| !file.exists()) else {
+    fn save_queued(&self) {
+        for (key, batch) in &self.queued {
+            let Some(file) = self.batch_file(key).filter(|file| !file.exists()) else {
                 continue;
             };
             if let Err(error) = std::fs::write(&file, batch) {
@@ -193,8 +193,8 @@
     }
 
     /// Reads batches that an earlier start left in the data folder.
-    fn load_kept(&mut self) {
-        let Some(folder) = &self.folder else {
+    fn load_saved(&mut self) {
+        let Some(folder) = &self.data_folder else {
             return;
         };
         let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
@@ -204,15 +204,15 @@
                 continue;
             };
             if let Ok(batch) = std::fs::read(entry.path()) {
-                self.kept_bytes += batch.len();
-                self.kept.push_back((key.replace('+', "/"), batch));
+                self.queued_bytes += batch.len();
+                self.queued.push_back((key.replace('+', "/"), batch));
             }
         }
     }
 
     /// Removes the file of a batch that is stored.
     fn remove_saved(&self, key: &str) {
-        if let Some(file) = self.file(key) {
+        if let Some(file) = self.batch_file(key) {
             // Most batches were never saved.
             let _ = std::fs::remove_file(file);
         }
--- a/crates/entry/src/store/config.rs
+++ b/crates/entry/src/store/config.rs
@@ -11,27 +11,27 @@
 
 /// How long one watch waits for a change. A watch that has gone silent is
 /// reopened after this time, which bounds how late a change is noticed.
-const WATCH_WAIT: Duration = Duration::from_secs(3);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Watches the configuration until the process ends.
 pub(crate) async fn watch_config<A: ObjectApi>(api: Arc<A>, vm: String, inputs: InputSender) {
     let mut backoff = Backoff::new(&vm);
-    let mut known = None;
+    let mut known_version = None;
     loop {
-        match next(&*api, known).await {
+        match read_or_watch(&*api, known_version).await {
             Ok(Some(object)) => {
                 backoff.reset();
-                known = Some(object.version);
-                offer(&object, &inputs).await;
+                known_version = Some(object.version);
+                submit_config(&object, &inputs).await;
             }
             Ok(None) => {
                 backoff.reset();
-                known.get_or_insert(0);
+                known_version.get_or_insert(0);
             }
             Err(error) => {
                 tracing::warn!("config: {error}");
                 // The next call reads the object instead of trusting the watch.
-                known = None;
+                known_version = None;
                 tokio::time::sleep(backoff.next_wait()).await;
             }
         }
@@ -39,15 +39,18 @@
 }
 
 /// Reads the configuration, or waits for one newer than the known version.
-async fn next<A: ObjectApi>(api: &A, known: Option<u64>) -> Result<Option<Object>, StoreError> {
-    match known {
+async fn read_or_watch<A: ObjectApi>(
+    api: &A,
+    known_version: Option<u64>,
+) -> Result<Option<Object>, StoreError> {
+    match known_version {
         None => api.get(CONFIG_KEY).await,
-        Some(version) => api.watch(CONFIG_KEY, version, WATCH_WAIT).await,
+        Some(version) => api.watch(CONFIG_KEY, version, WATCH_TIMEOUT).await,
     }
 }
 
 /// Hands a configuration that passes all checks to the core.
-async fn offer(object: &Object, inputs: &InputSender) {
+async fn submit_config(object: &Object, inputs: &InputSender) {
     let revision = object.version;
     let document = match Document::from_bytes(&object.value) {
         Ok(document) => document,
--- a/crates/entry/src/store/mod.rs
+++ b/crates/entry/src/store/mod.rs
@@ -7,5 +7,5 @@
 
 pub(crate) use charges::ChargeWriter;
 pub(crate) use config::watch_config;
-pub(crate) use view::{ViewOrder, serve_views};
+pub(crate) use view::{ViewRequest, serve_views};
 pub(crate) use vms::poll_vms;
--- a/crates/entry/src/store/view.rs
+++ b/crates/entry/src/store/view.rs
@@ -12,7 +12,7 @@
 
 /// A request of the core about the view.
 #[derive(Debug)]
-pub(crate) struct ViewOrder {
+pub(crate) struct ViewRequest {
     /// The request.
     pub request: StoreRequest,
     /// When the core made it.
@@ -25,43 +25,45 @@
 /// hold up the read that follows it.
 pub(crate) async fn serve_views<A: ObjectApi>(
     api: Arc<A>,
-    mut orders: mpsc::Receiver<ViewOrder>,
+    mut requests: mpsc::Receiver<ViewRequest>,
     inputs: InputSender,
 ) {
-    while let Some(order) = orders.recv().await {
+    while let Some(view_request) = requests.recv().await {
         let (api, inputs) = (Arc::clone(&api), inputs.clone());
         tokio::spawn(async move {
-            let event = carry_out(&*api, order).await;
+            let event = handle_request(&*api, view_request).await;
             inputs.send_input(Input::Store(event)).await;
         });
     }
 }
 
 /// Carries out one request.
-async fn carry_out<A: ObjectApi>(api: &A, order: ViewOrder) -> StoreEvent {
-    let result = match order.request {
-        StoreRequest::Read => read(api).await,
+async fn handle_request<A: ObjectApi>(api: &A, view_request: ViewRequest) -> StoreEvent {
+    let result = match view_request.request {
+        StoreRequest::Read => read_view(api).await,
         StoreRequest::Write {
             view,
             expected_version,
-        } => write(api, &view, expected_version).await.map(|version| {
-            let stored = StoredView { view, version };
-            StoreEvent::ViewWritten(stored)
-        }),
+        } => write_view(api, &view, expected_version)
+            .await
+            .map(|version| {
+                let stored = StoredView { view, version };
+                StoreEvent::ViewWritten(stored)
+            }),
         StoreRequest::Touch {
             view,
             expected_version,
         } => {
-            let sent_us = order.now_us;
-            let written = write(api, &view, expected_version).await;
+            let sent_us = view_request.now_us;
+            let written = write_view(api, &view, expected_version).await;
             written.map(|version| StoreEvent::ViewTouched { version, sent_us })
         }
     };
-    result.unwrap_or_else(|error| failure(&error))
+    result.unwrap_or_else(|error| error_event(&error))
 }
 
 /// Reads the view.
-async fn read<A: ObjectApi>(api: &A) -> Result<StoreEvent, StoreError> {
+async fn read_view<A: ObjectApi>(api: &A) -> Result<StoreEvent, StoreError> {
     let Some(object) = api.get(VIEW_KEY).await? else {
         return Ok(StoreEvent::ViewRead(None));
     };
@@ -78,7 +80,7 @@
 }
 
 /// Writes the view.
-async fn write<A: ObjectApi>(api: &A, view: &View, version: u64) -> Result<u64, StoreError> {
+async fn write_view<A: ObjectApi>(api: &A, view: &View, version: u64) -> Result<u64, StoreError> {
     let value = serde_json::to_vec(view).map_err(|error| StoreError::Unavailable {
         reason: error.to_string(),
     })?;
@@ -86,7 +88,7 @@
 }
 
 /// Converts an error to an input of the core.
-fn failure(error: &StoreError) -> StoreEvent {
+fn error_event(error: &StoreError) -> StoreEvent {
     tracing::debug!("membership: {error}");
     match error {
         StoreError::Conflict { .. } => StoreEvent::Conflict,
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -63,7 +63,7 @@
         let api = api.expect("client of the platform");
         let daemon = Daemon::start(settings, SECRET, api, clock).await;
         let daemon = daemon.expect("daemon starts");
-        daemon.ready().await;
+        daemon.wait_until_ready().await;
         Self {
             daemon,
             platform,
--- a/crates/entry/tests/two_vms.rs
+++ b/crates/entry/tests/two_vms.rs
@@ -26,7 +26,7 @@
     };
     let rows = vec![row("vm-1", &rig.daemon), row("vm-2", &second)];
     rig.platform.objects.set_vms(rows);
-    second.ready().await;
+    second.wait_until_ready().await;
     while !rig.get("/metrics").await.contains("kwd_epoch 2") {
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
--- a/crates/testing/examples/demo.rs
+++ b/crates/testing/examples/demo.rs
@@ -41,7 +41,7 @@
         ),
     )?;
     let daemon = Daemon::start(settings, SECRET, api()?, MonotonicClock::start()).await?;
-    daemon.ready().await;
+    daemon.wait_until_ready().await;
     print_lines(&format!("http://{}", daemon.address()));
     tokio::signal::ctrl_c().await?;
     daemon.stop().await;
