--- a/crates/core/tests/cache_affinity.rs
+++ b/crates/core/tests/cache_affinity.rs
@@ -1,5 +1,5 @@
-//! Guards against prompts that are read again although an upstream holds
-//! them, and against hints that send every call to one upstream.
+//! Guards against prompts that are processed again although an upstream has them cached, and
+//! against cache hints that send every call to one upstream.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use knapweeddale_testing::fleet::{engine_call, engine_fleet};
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 
-/// Makes a turn of a program.
+/// Makes a call for a turn of a program.
 fn turn(
     program: &str,
     turn: u32,
@@ -26,7 +26,7 @@
 }
 
 /// Returns the upstream that ran a call.
-fn upstream(mesh: &Mesh, id: CallId) -> String {
+fn upstream_of(mesh: &Mesh, id: CallId) -> String {
     let mut events = mesh.trace.events.iter();
     let found = events.find_map(|(_, event)| match event {
         TraceEvent::Executed { dispatch, call, .. } if call.id == id => {
@@ -37,7 +37,7 @@
     found.expect("call ran")
 }
 
-/// Runs turns of a program with a pause; returns the upstream of each.
+/// Runs turns of a program with a pause after each; returns the upstream of each turn.
 fn run_program(mesh: &mut Mesh, program: &str, turns: u32, pause_ms: u64) -> Vec<String> {
     let mut continuation = None;
     let mut upstreams = Vec::new();
@@ -47,7 +47,7 @@
         mesh.run_ms(5_000);
         let answered = mesh.trace.answer(id).expect("turn is answered");
         continuation = answered.continuation.clone();
-        upstreams.push(upstream(mesh, id));
+        upstreams.push(upstream_of(mesh, id));
         mesh.run_ms(pause_ms);
     }
     upstreams
@@ -77,7 +77,7 @@
         mesh.run_ms(10_000);
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for id in ids {
-            *counts.entry(upstream(&mesh, id)).or_default() += 1;
+            *counts.entry(upstream_of(&mesh, id)).or_default() += 1;
         }
         assert!(counts.len() >= 4, "{counts:?}");
         assert!(
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn crash_voids_hints() {
+fn crash_invalidates_hints() {
     let mut mesh = Mesh::new(1, engine_fleet(2, 8, 1), 1);
     mesh.run_ms(100);
     let first = mesh.call(0, turn("tour", 1, 50_000, None));
     mesh.run_ms(5_000);
-    let home = upstream(&mesh, first);
+    let cached_on = upstream_of(&mesh, first);
     let poison = knapweeddale_testing::fleet::digest(666);
     mesh.engines.poison.insert(poison);
     mesh.call(0, engine_call(0, 666, 10, 10));
@@ -102,20 +102,20 @@
         mesh.engines
             .crashes
             .keys()
-            .any(|name| name.as_str() == home)
+            .any(|name| name.as_str() == cached_on)
     );
     let control = mesh.control(0).expect("VM runs");
     let row = control
         .tables()
         .upstreams
         .iter()
-        .find(|(name, _)| name.as_str() == home);
+        .find(|(name, _)| name.as_str() == cached_on);
     let (_, row) = row.expect("upstream exists");
-    let (_, footprint) = control
+    let (_, history) = control
         .tables()
         .placement_histories
         .iter()
         .next()
-        .expect("footprint");
-    assert!(footprint.hints[0].ended_us < row.health.cache_valid_from_us);
+        .expect("placement history");
+    assert!(history.hints[0].ended_us < row.health.cache_valid_from_us);
 }
--- a/crates/core/tests/changed_limits.rs
+++ b/crates/core/tests/changed_limits.rs
@@ -1,5 +1,5 @@
-//! Guards against shares that outlive a lower limit by more than a grant, and
-//! against a higher limit that does not come into force.
+//! Guards against VMs that admit calls by the old limit for longer than a grant is valid after
+//! the limit was lowered, and against a raised limit that does not take effect.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +9,8 @@
 use knapweeddale_testing::scenario::{self, Scenario, VMS};
 use knapweeddale_testing::seeds;
 
-/// Divides or multiplies the limits of all accounts.
-fn scaled(revision: u64, multiply: u64, divide: u64) -> FleetConfig {
+/// Makes the fleet of the scenario with the limits of all accounts multiplied and divided.
+fn scaled_fleet(revision: u64, multiply: u64, divide: u64) -> FleetConfig {
     let mut fleet = scenario::fleet();
     fleet.revision = Revision(revision);
     for account in &mut fleet.accounts {
@@ -20,14 +20,19 @@
     fleet
 }
 
+/// Publishes a configuration on all VMs.
 fn publish(scenario: &mut Scenario, fleet: &FleetConfig) {
     for vm in 0..VMS {
         scenario.mesh.publish(vm, fleet.clone());
     }
 }
 
-/// Counts the calls admitted from a time on and checks them against limits.
-fn admitted(scenario: &Scenario, fleet: &FleetConfig, from_us: u64) -> BTreeMap<AccountName, u64> {
+/// Counts the calls admitted since `from_us` by account and asserts that none exceeds its limits.
+fn count_admitted(
+    scenario: &Scenario,
+    fleet: &FleetConfig,
+    from_us: u64,
+) -> BTreeMap<AccountName, u64> {
     let mut counts = BTreeMap::new();
     let mut buckets: BTreeMap<_, _> = fleet
         .accounts
@@ -62,26 +67,26 @@
     for seed in seeds() {
         let mut scenario = Scenario::new(seed);
         scenario.drive_ms(5_000);
-        let fleet = scaled(2, 1, 2);
+        let fleet = scaled_fleet(2, 1, 2);
         publish(&mut scenario, &fleet);
         let settings = scenario.mesh.control(0).expect("VM runs").settings();
         let grant_us = settings.grant_ms * 1_000;
         let from_us = scenario.mesh.now_us() + grant_us;
         scenario.drive_ms(15_000);
-        admitted(&scenario, &fleet, from_us);
+        count_admitted(&scenario, &fleet, from_us);
     }
 }
 
 #[test]
-fn lower_limit_while_cut_off() {
+fn lower_limit_during_partition() {
     for seed in seeds() {
         let mut scenario = Scenario::new(seed);
         scenario.drive_ms(5_000);
         let owner = scenario.owner("aller");
         let others: Vec<_> = (0..VMS).filter(|vm| *vm != owner).collect();
-        // No holder hears of the smaller shares, or of the new configuration.
+        // No holder receives the smaller shares or the new configuration.
         scenario.mesh.partition(&[owner], &others);
-        let fleet = scaled(2, 1, 2);
+        let fleet = scaled_fleet(2, 1, 2);
         scenario.mesh.publish(owner, fleet.clone());
         let settings = scenario.mesh.control(0).expect("VM runs").settings();
         let grant_us = settings.grant_ms * 1_000;
@@ -90,11 +95,11 @@
         scenario.mesh.heal();
         publish(&mut scenario, &fleet);
         scenario.drive_ms(10_000);
-        // The owners of the other accounts did not hear of the lower limits before.
+        // The owners of the other accounts did not receive the lower limits before.
         let aller = |account: &AccountConfig| account.name.as_str() == "aller";
         let mut fleet = fleet;
         fleet.accounts.retain(aller);
-        admitted(&scenario, &fleet, from_us);
+        count_admitted(&scenario, &fleet, from_us);
     }
 }
 
@@ -103,13 +108,14 @@
     for seed in seeds() {
         let mut scenario = Scenario::new(seed);
         scenario.drive_ms(5_000);
-        let fleet = scaled(2, 2, 1);
+        let fleet = scaled_fleet(2, 2, 1);
         publish(&mut scenario, &fleet);
         scenario.drive_ms(1_000);
         let from_us = scenario.mesh.now_us();
         scenario.drive_ms(20_000);
-        let counts = admitted(&scenario, &fleet, from_us);
-        // 20 calls a second are allowed and 50 offered; 395 leaves room for chance at the ends.
+        let counts = count_admitted(&scenario, &fleet, from_us);
+        // 50 calls a second are offered and 20 allowed, 400 in 20 s; 395 allows for random
+        // arrivals at both ends.
         let count = counts[&AccountName::from("cueca")];
         assert!(count >= 395, "seed {seed}: {count} admitted");
     }
--- a/crates/core/tests/cut_off.rs
+++ b/crates/core/tests/cut_off.rs
@@ -1,4 +1,5 @@
-//! Guards against a VM that goes on spending its share after it has lost its owner.
+//! Guards against a VM that is cut off from the owner of its share and goes on admitting calls
+//! after the grant has ended.
 
 use knapweeddale_core::RefusalKind;
 use knapweeddale_testing::mesh::TraceEvent;
@@ -6,7 +7,7 @@
 use knapweeddale_testing::seeds;
 
 #[test]
-fn stops_with_grant() {
+fn admits_nothing_after_grant() {
     for seed in seeds() {
         let mut scenario = Scenario::new(seed);
         scenario.drive_ms(5_000);
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn refusals_name_a_time() {
+fn refusals_carry_retry_after() {
     let mut scenario = Scenario::new(1);
     scenario.drive_ms(10_000);
     let refusals = scenario
@@ -59,7 +60,7 @@
             _ => None,
         });
     let refusals: Vec<_> = refusals.collect();
-    assert!(!refusals.is_empty(), "the account over its rate is refused");
+    assert!(!refusals.is_empty(), "no call over the rate was refused");
     for refusal in refusals {
         assert_eq!(refusal.kind, RefusalKind::OverRate);
         assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 0));
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -1,5 +1,5 @@
-//! Guards against a client account, or a long program, that takes more than
-//! its part of a busy pool.
+//! Guards against a client account, or a program with sub-agents, that takes more than its fair
+//! share of a busy pool, and against long programs that starve.
 
 use std::collections::BTreeMap;
 
@@ -28,8 +28,8 @@
     mesh
 }
 
-/// Counts the runs of each account in a time.
-fn runs(mesh: &Mesh, from_us: u64, to_us: u64) -> BTreeMap<String, u64> {
+/// Counts the runs of each account from `from_us` until before `to_us`.
+fn count_runs(mesh: &Mesh, from_us: u64, to_us: u64) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
     for (at_us, event) in &mesh.trace.events {
         if let TraceEvent::Executed { dispatch, .. } = event
@@ -59,7 +59,7 @@
     }
     let from_us = mesh.now_us();
     mesh.run_ms(20_000);
-    let runs = runs(&mesh, from_us, mesh.now_us());
+    let runs = count_runs(&mesh, from_us, mesh.now_us());
     let percent = runs["account-1"] * 100 / runs["account-0"];
     assert!(
         percent.abs_diff(ratio_percent) <= ratio_percent / 10,
@@ -68,19 +68,19 @@
 }
 
 #[test]
-fn idle_account_saves_nothing_up() {
+fn idle_account_gains_no_credit() {
     let mut mesh = mesh(engine_fleet(1, 1, 2), PolicyPreset::FairShare);
     for content in 0..100 {
         mesh.call(0, engine_call(0, content, 100, 20));
     }
     mesh.run_ms(5_000);
-    // The second account was idle so far; from now on both get half.
+    // The second account was idle until now; from here on each gets half.
     let from_us = mesh.now_us();
     for content in 100..200 {
         mesh.call(0, engine_call(1, content, 100, 20));
     }
     mesh.run_ms(4_000);
-    let runs = runs(&mesh, from_us, mesh.now_us());
+    let runs = count_runs(&mesh, from_us, mesh.now_us());
     assert!(runs["account-0"] * 10 >= runs["account-1"] * 8, "{runs:?}");
 }
 
@@ -103,9 +103,9 @@
 #[rstest]
 #[case(PolicyPreset::FairShare)]
 #[case(PolicyPreset::Latency)]
-fn sub_agents_count_to_the_root(#[case] preset: PolicyPreset) {
+fn sub_agents_count_toward_root(#[case] preset: PolicyPreset) {
     let mut mesh = mesh(engine_fleet(1, 1, 1), preset);
-    // One tree of sub-agents has attained much service.
+    // The agents of program `tour` have attained much service.
     let mut first = program_call(0, "tour/a", 1, 20);
     first.prompt_tokens = 50_000;
     mesh.call(0, first);
@@ -115,7 +115,7 @@
     let old = mesh.call(0, program_call(0, "tour/c", 3, 10));
     let new = mesh.call(0, program_call(0, "fresh", 4, 10));
     mesh.run_ms(10_000);
-    let answered = |id| {
+    let answered_us = |id| {
         let events = mesh.trace.events.iter();
         let mut at = events.filter_map(|(at_us, event)| match event {
             TraceEvent::Answered(answered) if answered.call == id => Some(*at_us),
@@ -123,11 +123,11 @@
         });
         at.next().expect("call ends")
     };
-    assert!(answered(new) < answered(old));
+    assert!(answered_us(new) < answered_us(old));
 }
 
-/// Makes a waiting call.
-fn waiting(seq: u64) -> QueuedCall {
+/// Makes a queued call that arrived at `seq` microseconds.
+fn queued_call(seq: u64) -> QueuedCall {
     let call = CallId {
         incarnation: Incarnation(1),
         seq,
@@ -158,12 +158,12 @@
 }
 
 #[test]
-fn latency_bounds_how_far_an_account_falls_behind() {
+fn latency_bounds_account_lag() {
     let mut queue = Queue::default();
     let lanes = [Some(AccountName::from("a")), Some(AccountName::from("b"))];
     for seq in 0..10 {
-        let waiting = waiting(seq);
-        let attempt = waiting.place.attempt;
+        let queued = queued_call(seq);
+        let attempt = queued.place.attempt;
         // All calls of the first account have attained less service.
         let attained = seq % 2;
         let rank = Rank {
@@ -171,7 +171,7 @@
             arrived_us: seq,
             attempt,
         };
-        queue.push(lanes[attained as usize].clone(), rank, waiting);
+        queue.push(lanes[attained as usize].clone(), rank, queued);
     }
     let order = LaneOrder::LowestRank { max_lag: 100 };
     let first = |queue: &Queue| queue.candidates(order)[0].call.seq % 2;
@@ -189,7 +189,7 @@
     first.prompt_tokens = 50_000;
     mesh.call(0, first);
     mesh.run_ms(3_000);
-    // Fresh programs arrive faster than one engine serves them.
+    // New programs arrive faster than one engine serves them.
     mesh.call(0, program_call(0, "blocker", 2, 100));
     let old = mesh.call(0, program_call(0, "tour/b", 3, 100));
     for number in 0..150 {
--- a/crates/core/tests/fault_mix.rs
+++ b/crates/core/tests/fault_mix.rs
@@ -1,11 +1,12 @@
-//! Guards against programs that break under faults of VMs and links, one fault at a time.
+//! Guards against programs that lose their order, history, budget or memory under faults of VMs
+//! and links, one kind of fault at a time.
 
 use knapweeddale_testing::callers::{Callers, fleet};
 use knapweeddale_testing::mesh::Mesh;
 use knapweeddale_testing::{Random, invariants, seeds_from};
 use rstest::rstest;
 
-/// A fault that strikes while programs run.
+/// A fault that is injected while programs run.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     None,
@@ -18,8 +19,8 @@
     Drain,
 }
 
-/// Lets a fault strike and undoes it where VMs recover by themselves.
-fn strike(fault: Fault, mesh: &mut Mesh, callers: &mut Callers, random: &mut Random) {
+/// Injects a fault and ends it again, except crashes and drains, which last.
+fn inject(fault: Fault, mesh: &mut Mesh, callers: &mut Callers, random: &mut Random) {
     let vm = random.below(mesh.len() as u64) as usize;
     let other = (vm + 1) % mesh.len();
     let pause_us = random.between(200_000, 8_000_000);
@@ -60,7 +61,7 @@
 }
 
 #[rstest]
-fn programs_survive(
+fn invariants_hold(
     #[values(
         Fault::None,
         Fault::Lossy,
@@ -76,7 +77,7 @@
     let (mut worst, mut total) = (0.0f64, 0.0f64);
     let seeds = seeds_from(0);
     for seed in seeds.clone() {
-        let unknown_per_mille = survive(fault, seed);
+        let unknown_per_mille = run_and_check(fault, seed);
         worst = worst.max(unknown_per_mille);
         total += unknown_per_mille;
     }
@@ -84,23 +85,24 @@
     println!("{fault:?}: may_have_run {mean:.2} of 1,000 calls, worst seed {worst:.2}");
 }
 
-/// A turn ran again after a later one: its copy waited at another VM while the home, which had
-/// run both, was cut off, and no VM told the next home what callers carried.
+/// Guards against a turn that runs again after a later one: a copy of it waited at another VM
+/// while the home, which had run both turns, was cut off, and no VM told the next home which
+/// continuations the callers had sent.
 #[rstest]
 fn late_copies(#[values(587, 960)] seed: u64) {
-    survive(Fault::Partition, seed);
+    run_and_check(Fault::Partition, seed);
 }
 
-/// Runs programs through a fault, checks the invariants and returns the calls of 1,000 whose
-/// outcome is unknown.
-fn survive(fault: Fault, seed: u64) -> f64 {
+/// Runs programs under a fault, checks the invariants and returns how many calls of 1,000 have
+/// an unknown outcome.
+fn run_and_check(fault: Fault, seed: u64) -> f64 {
     let fleet = fleet(100_000, 130);
     let mut mesh = Mesh::new(5, fleet.clone(), seed);
     let mut callers = Callers::new(8, 8, seed);
     let mut random = Random::new(seed ^ 0xfa17);
     mesh.run_ms(1_500);
     callers.run_ms(&mut mesh, random.between(200, 3_000));
-    strike(fault, &mut mesh, &mut callers, &mut random);
+    inject(fault, &mut mesh, &mut callers, &mut random);
     callers.run_ms(&mut mesh, 60_000);
     let trace = &mesh.trace;
     let checks = [
--- a/crates/core/tests/fleet_partition.rs
+++ b/crates/core/tests/fleet_partition.rs
@@ -1,9 +1,11 @@
-//! Guards against two sides of a partition that both act, or a fleet that does not recover.
+//! Guards against leases on both sides of a partition, and against a fleet that does not recover
+//! after it.
 
 use knapweeddale_core::FleetConfig;
 use knapweeddale_testing::mesh::Mesh;
 use knapweeddale_testing::{Random, assert_members, run_sampled, seeds, settled_mesh};
 
+/// Returns the VMs that are not on a side.
 fn others(side: &[usize]) -> Vec<usize> {
     (0..8).filter(|vm| !side.contains(vm)).collect()
 }
@@ -44,7 +46,7 @@
         let right = others(&left);
         mesh.partition(&left, &right);
         run_sampled(&mut mesh, 30_000, seed);
-        // The larger side goes on.
+        // Only the larger side keeps its leases.
         for &vm in &left {
             assert!(
                 !mesh.has_lease(vm),
@@ -72,7 +74,7 @@
         run_sampled(&mut mesh, 5_000, seed);
         mesh.partition(&left, &others(&left));
         run_sampled(&mut mesh, 4_000, seed);
-        // Neither side hears the promises of both writers.
+        // Neither side receives the promises of both writers.
         for vm in 0..8 {
             assert!(!mesh.has_lease(vm), "seed {seed}: VM {vm} has a lease");
         }
--- a/crates/core/tests/home_crash.rs
+++ b/crates/core/tests/home_crash.rs
@@ -1,4 +1,5 @@
-//! Guards against programs that are lost with their home, or that have two homes at once.
+//! Guards against programs whose state is lost when their home crashes, and against programs
+//! with two homes at once.
 
 use knapweeddale_core::{Execution, RefusalKind};
 use knapweeddale_testing::callers::{Kind, call, fleet, key_of};
@@ -6,6 +7,7 @@
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use rstest::rstest;
 
+/// Starts five VMs and returns them with the home of `tour`.
 fn start() -> (Mesh, usize) {
     let mut mesh = Mesh::new(5, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
@@ -18,7 +20,7 @@
 #[case::before_dispatch(2)]
 #[case::while_running(50)]
 #[case::after_end(1_000)]
-fn program_goes_on(#[case] after_ms: u64) {
+fn program_continues(#[case] after_ms: u64) {
     let (mut mesh, home) = start();
     let entry = (home + 1) % 5;
     let first = mesh.call(entry, call(Kind::Chat, "tour", 1, 1, None, None));
@@ -32,22 +34,18 @@
     mesh.run_ms(1_000);
     let answered = mesh.trace.answer(next).expect("turn 2 is answered");
     let spent = answered.continuation.as_ref().map(|c| c.spent_tokens);
-    assert_eq!(
-        spent,
-        Some(240),
-        "tokens of the first turn are not forgotten"
-    );
+    assert_eq!(spent, Some(240), "the tokens of both turns are counted");
     invariants::program_order(&mesh.trace).expect("order");
     invariants::history_intact(&mesh.trace).expect("history");
     invariants::memory_released(&mesh).expect("memory");
 }
 
 #[test]
-fn call_to_a_home_in_one_view_only_waits() {
+fn isolated_home_begins_no_turn() {
     let (mut mesh, home) = start();
     let entry = (home + 1) % 5;
     let rest: Vec<usize> = (0..5).filter(|vm| *vm != home && *vm != entry).collect();
-    // The home and one entry VM are cut off and keep the old view.
+    // The home and one entry VM are isolated and keep the old view.
     mesh.partition(&[home, entry], &rest);
     mesh.store.cut_off.extend([home, entry]);
     mesh.run_ms(5_000);
@@ -80,17 +78,17 @@
     let paused_us = mesh.now_us();
     let second = mesh.call(entry, call(Kind::Status, "tour", 1, 2, None, None));
     mesh.run_ms(12_000);
-    let closed =
+    let refused =
         mesh.trace.events.iter().find(
             |(_, event)| matches!(event, TraceEvent::Refused(refusal) if refusal.call == second),
         );
-    let (at_us, event) = closed.expect("the new home refuses the duplicate");
+    let (at_us, event) = refused.expect("the new home refuses the duplicate");
     let TraceEvent::Refused(refusal) = event else {
         unreachable!("found as a refusal");
     };
     assert_eq!(refusal.kind, RefusalKind::DuplicateTurn);
     assert!(
         at_us - paused_us > 3_000_000,
-        "not before the old lease has ended"
+        "refused before the old lease has ended"
     );
 }
--- a/crates/core/tests/home_session.rs
+++ b/crates/core/tests/home_session.rs
@@ -1,20 +1,20 @@
-//! Guards against unnoticed changes of what homes decide, in one fixed session.
+//! Guards against unnoticed changes of the homes' decisions, by a snapshot of one fixed session.
 
 use knapweeddale_core::ProgramRequestKind;
 use knapweeddale_testing::callers::{Kind, call, fleet, key_of, request};
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 
-/// Returns the decisions of homes.
+/// Returns the decisions of homes and admission as they are logged.
 ///
-/// Times are left out: they depend on the delays drawn for all other messages.
+/// Times are left out: they depend on the random delays of all other messages.
 fn decisions(mesh: &Mesh) -> String {
     let lines = mesh.trace.events.iter().filter_map(|(_, event)| {
         let TraceEvent::Decided { vm, decision } = event else {
             return None;
         };
         let text = decision.to_string();
-        let is_home = text.starts_with("homes:") || text.starts_with("admission:");
-        is_home.then(|| format!("{vm} {text}\n"))
+        let is_included = text.starts_with("homes:") || text.starts_with("admission:");
+        is_included.then(|| format!("{vm} {text}\n"))
     });
     lines.collect()
 }
@@ -26,7 +26,7 @@
     let home = mesh.home_of(0, &key_of("tour")).expect("a home");
     let entry = (home + 1) % 3;
     let first = mesh.call(entry, call(Kind::Chat, "tour", 1, 1, None, None));
-    // Later, so that random delays do not decide which call gets which engine.
+    // Sent later, so that random delays do not decide which call gets which engine.
     mesh.run_ms(20);
     mesh.call(entry, call(Kind::Chat, "tour/hall", 1, 2, None, None));
     mesh.run_ms(1_000);
--- a/crates/core/tests/isolated_calls.rs
+++ b/crates/core/tests/isolated_calls.rs
@@ -1,4 +1,5 @@
-//! Guards against calls under a key on a VM that cannot learn of its withdrawal.
+//! Guards against calls that an isolated VM admits under a withdrawn key, because it cannot learn
+//! of the withdrawal.
 
 use knapweeddale_core::{
     AccountConfig, AccountName, CallId, Execution, FleetConfig, Incarnation, KeyConfig, KeyId,
@@ -65,7 +66,7 @@
 }
 
 /// Sends a call and returns the kind of its refusal, if it is refused at once.
-fn refused(mesh: &mut Mesh, vm: usize, call: NewCall) -> Option<RefusalKind> {
+fn refusal_kind(mesh: &mut Mesh, vm: usize, call: NewCall) -> Option<RefusalKind> {
     let id = mesh.call(vm, call);
     mesh.run_ms(1);
     let refusal = mesh.trace.refusal(id)?;
@@ -74,14 +75,14 @@
 }
 
 #[test]
-fn cut_off_vm_refuses() {
+fn isolated_vm_refuses() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(8, 3, fleet(1, false), seed);
         mesh.run_ms(5_000);
         let writers = mesh.writers(0);
-        let cut_off: Vec<_> = (0..8).filter(|vm| !writers.contains(vm)).take(3).collect();
-        let others: Vec<_> = (0..8).filter(|vm| !cut_off.contains(vm)).collect();
-        mesh.partition(&cut_off, &others);
+        let isolated: Vec<_> = (0..8).filter(|vm| !writers.contains(vm)).take(3).collect();
+        let others: Vec<_> = (0..8).filter(|vm| !isolated.contains(vm)).collect();
+        mesh.partition(&isolated, &others);
         let withdrawn = fleet(2, true);
         others
             .iter()
@@ -89,19 +90,22 @@
         // A withdrawn key stops working within 5 s on every VM.
         mesh.run_ms(4_900);
         for vm in 0..8 {
-            let kind = refused(&mut mesh, vm, call("/keyed", true));
-            let expected = if cut_off.contains(&vm) {
+            let kind = refusal_kind(&mut mesh, vm, call("/keyed", true));
+            let expected = if isolated.contains(&vm) {
                 RefusalKind::Isolated
             } else {
                 RefusalKind::KeyWithdrawn
             };
             assert_eq!(kind, Some(expected), "seed {seed}: VM {vm}");
         }
-        assert_eq!(refused(&mut mesh, cut_off[0], call("/open", false)), None);
+        assert_eq!(
+            refusal_kind(&mut mesh, isolated[0], call("/open", false)),
+            None
+        );
         mesh.heal();
         mesh.run_ms(10_000);
         for vm in 0..8 {
-            let kind = refused(&mut mesh, vm, call("/keyed", true));
+            let kind = refusal_kind(&mut mesh, vm, call("/keyed", true));
             assert_eq!(
                 kind,
                 Some(RefusalKind::KeyWithdrawn),
@@ -120,7 +124,7 @@
         for _ in 0..60 {
             mesh.run_ms(500);
             for vm in 0..8 {
-                let kind = refused(&mut mesh, vm, call("/keyed", true));
+                let kind = refusal_kind(&mut mesh, vm, call("/keyed", true));
                 assert_eq!(kind, None, "seed {seed}: VM {vm}");
             }
         }
--- a/crates/core/tests/large_pool.rs
+++ b/crates/core/tests/large_pool.rs
@@ -1,4 +1,4 @@
-//! Pools with more upstreams than are compared for each call.
+//! Guards against wrong placement in pools with more upstreams than placement compares for a call.
 
 use knapweeddale_core::UpstreamList;
 use knapweeddale_testing::relays::{RelayCall, RelayFleet, account, fleet, listed};
@@ -24,7 +24,7 @@
     relays
 }
 
-/// Guards against calls of tools that are sent to the engine of their program.
+/// Guards against tool calls that are sent to the engine of their program.
 #[rstest]
 fn tools_of_program() {
     let mut relays = start();
@@ -41,9 +41,9 @@
     }
 }
 
-/// Guards against turns that leave the engine with their prompt.
+/// Guards against turns that are placed away from the engine that has their prompt cached.
 #[rstest]
-fn warm_engine() {
+fn cached_prompt() {
     let mut relays = start();
     relays.call(0, RelayCall::turn("bus", "tour", 90_000, 100));
     relays.run_ms(500);
