--- a/crates/core/tests/combined_faults.rs
+++ b/crates/core/tests/combined_faults.rs
@@ -4,7 +4,7 @@
 use knapweeddale_testing::mesh::Mesh;
 use knapweeddale_testing::{Random, assert_members, run_sampled, seeds};
 
-/// Starts one fault; several may be active at a time.
+/// Injects a random fault; several may be active at a time.
 fn inject(mesh: &mut Mesh, random: &mut Random) {
     let vm = random.below(8) as usize;
     match random.below(9) {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Ends all faults and starts VMs that are down or leaving.
+/// Ends all faults and restarts VMs that are down or draining.
 fn repair(mesh: &mut Mesh) {
     mesh.heal();
     mesh.store.is_down = false;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn never_two_owners() {
+fn at_most_one_owner() {
     for seed in seeds() {
         let mut random = Random::new(seed);
         let mut mesh = Mesh::with_domains(8, 3, FleetConfig::default(), seed);
--- a/crates/core/tests/learned_limit.rs
+++ b/crates/core/tests/learned_limit.rs
@@ -1,5 +1,5 @@
-//! Guards against a limit that runs upstreams past the knee of their batch
-//! curve, leaves its bounds, or forgets calls of other origin.
+//! Guards against a concurrency limit that rises beyond the batch size at which throughput stops
+//! growing (the knee), leaves its bounds, or ignores calls from outside the fleet.
 
 use knapweeddale_core::tables::{ConcurrencyLimit, LimitReason};
 use knapweeddale_core::{Input, UpstreamName};
@@ -7,7 +7,7 @@
 use knapweeddale_testing::mesh::{BatchModel, Mesh};
 use rstest::rstest;
 
-/// Runs a limit against a curve of the token rate until it settles.
+/// Feeds a limit with load reports until it settles; `rate` gives the token rate by running calls.
 fn settle(limit: &mut ConcurrencyLimit, rate: impl Fn(u32) -> u64) {
     for report in 0..4_000 {
         let now_us = report * 500_000;
@@ -22,7 +22,7 @@
     let mut limit = ConcurrencyLimit::new(1, 64);
     limit.calls = 4;
     settle(&mut limit, |calls| u64::from(calls.min(knee)) * 60);
-    // A step is an eighth; one that ends far past the knee is taken back.
+    // A step is an eighth; one that ends far past the knee is undone.
     assert!(
         limit.calls >= knee - knee / 8 && limit.calls <= knee + knee / 4,
         "{}",
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn waits_while_it_does_not_bind() {
+fn unreached_limit_stays() {
     let mut limit = ConcurrencyLimit::new(1, 64);
     let before = limit.calls;
     for report in 0..1_000 {
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn slow_tokens_lower_it() {
+fn slow_tokens_lower_limit() {
     let mut fleet = engine_fleet(1, 200, 1);
     fleet.services[0].upstreams[0].min_running_calls = 2;
     let mut mesh = Mesh::new(1, fleet, 1);
-    // Tokens are due every 30 ms; with the 100 calls of the first limit they take far longer.
+    // Tokens are due every 30 ms; with the 100 calls of the initial limit they take far longer.
     mesh.use_batches(BatchModel {
         max_calls: 200,
         ..BatchModel::default()
@@ -74,12 +74,12 @@
         .iter()
         .map(|(_, row)| row.limit.calls);
     let limits: Vec<u32> = limits.collect();
-    // 24 calls are at the knee; at 40, a token takes about 40 ms.
+    // The knee is at 24 calls; at 40 calls, a token takes about 40 ms.
     assert!((16..=40).contains(&limits[0]), "{limits:?}");
 }
 
 #[test]
-fn calls_of_other_origin_count() {
+fn foreign_calls_count() {
     let mut mesh = Mesh::new(1, engine_fleet(2, 8, 1), 1);
     mesh.run_ms(100);
     // Another front end keeps the first engine full.
--- a/crates/core/tests/lease_expiry.rs
+++ b/crates/core/tests/lease_expiry.rs
@@ -1,11 +1,11 @@
-//! Guards against a VM that acts on a lease it should have lost.
+//! Guards against a VM that acts under a lease that should have expired.
 
 use knapweeddale_core::FleetConfig;
 use knapweeddale_testing::mesh::Mesh;
 use knapweeddale_testing::{Random, run_sampled, seeds, settled_mesh};
 
 #[test]
-fn paused_vm_stops_first() {
+fn lease_expires_during_pause() {
     for seed in seeds() {
         for vm in 0..8 {
             let mut mesh = settled_mesh(FleetConfig::default(), seed);
@@ -13,9 +13,12 @@
             mesh.pause(vm, 20_000_000);
             run_sampled(&mut mesh, 20_000, seed);
             assert!(!mesh.has_lease(vm), "seed {seed}: VM {vm} kept its lease");
-            // The VM wakes with old messages, learns that it was removed and joins again.
+            // The VM resumes with old messages, learns that it was removed and joins again.
             run_sampled(&mut mesh, 10_000, seed);
-            assert!(mesh.has_lease(vm), "seed {seed}: VM {vm} did not come back");
+            assert!(
+                mesh.has_lease(vm),
+                "seed {seed}: VM {vm} did not join again"
+            );
             let members = &mesh.tables(vm).view.members;
             assert_eq!(members.len(), 8, "seed {seed}: view after the pause");
         }
@@ -23,7 +26,7 @@
 }
 
 #[test]
-fn short_pause_removes_nobody() {
+fn short_pause_removes_no_vm() {
     for seed in seeds() {
         let mut mesh = settled_mesh(FleetConfig::default(), seed);
         run_sampled(&mut mesh, 5_000, seed);
@@ -72,7 +75,7 @@
         let mut mesh = settled_mesh(FleetConfig::default(), seed);
         run_sampled(&mut mesh, 5_000, seed);
         let writers = mesh.writers(0);
-        // The second writer touches while the first one cannot.
+        // The second writer touches the view while the first one cannot reach the store.
         mesh.store.cut_off.insert(writers[0]);
         for _ in 0..300 {
             run_sampled(&mut mesh, 100, seed);
@@ -80,7 +83,7 @@
                 assert!(mesh.has_lease(vm), "seed {seed}: VM {vm} without lease");
             }
         }
-        // Its promises must not keep the second one from writing views.
+        // Promises of the first one must not keep the second one from writing views.
         let dead = (0..8).find(|vm| !writers.contains(vm)).expect("a member");
         mesh.crash(dead);
         run_sampled(&mut mesh, 12_000, seed);
--- a/crates/core/tests/leaving_vm.rs
+++ b/crates/core/tests/leaving_vm.rs
@@ -1,11 +1,11 @@
-//! Guards against gaps in ownership when VMs leave in good order.
+//! Guards against accounts without an owner while VMs drain and leave the fleet.
 
 use knapweeddale_core::{FleetConfig, Input};
 use knapweeddale_testing::mesh::Mesh;
 use knapweeddale_testing::{invariants, run_sampled, sample_accounts, seeds};
 
-/// Returns how many sampled accounts have no owner.
-fn unowned(mesh: &Mesh) -> usize {
+/// Counts the sampled accounts without an owner.
+fn count_unowned(mesh: &Mesh) -> usize {
     sample_accounts()
         .iter()
         .filter(|account| invariants::owners(mesh, |view| view.account_owner(account)).is_empty())
@@ -26,25 +26,36 @@
             mesh.input(vm, Input::Drain);
             run_sampled(&mut mesh, 500, seed);
             assert!(has_left(&mesh, vm), "seed {seed}: VM {vm} has not left");
-            assert!(!mesh.has_lease(vm), "seed {seed}: VM {vm} still acts");
-            assert_eq!(unowned(&mesh), 0, "seed {seed}: VM {vm} left a gap");
+            assert!(
+                !mesh.has_lease(vm),
+                "seed {seed}: VM {vm} still has its lease"
+            );
+            assert_eq!(
+                count_unowned(&mesh),
+                0,
+                "seed {seed}: accounts without owner after VM {vm} left"
+            );
             let control = mesh.control(vm).expect("VM runs");
             assert!(!control.is_ready(mesh.local_us(vm)));
             mesh.crash(vm);
             mesh.restart(vm);
             run_sampled(&mut mesh, 8_000, seed);
-            assert_eq!(unowned(&mesh), 0, "seed {seed}: VM {vm} did not take over");
+            assert_eq!(
+                count_unowned(&mesh),
+                0,
+                "seed {seed}: accounts without owner after restart of VM {vm}"
+            );
         }
     }
 }
 
 #[test]
-fn still_hears_of_withdrawals() {
+fn draining_vm_is_not_isolated() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(8, 3, FleetConfig::default(), seed);
         run_sampled(&mut mesh, 5_000, seed);
         mesh.input(2, Input::Drain);
-        // It goes on to serve calls that arrive, so it must not count as cut off.
+        // The draining VM still serves calls that arrive, so it must not count as isolated.
         run_sampled(&mut mesh, 20_000, seed);
         let control = mesh.control(2).expect("VM runs");
         let isolated = control
@@ -55,7 +66,7 @@
 }
 
 #[test]
-fn lost_notice_costs_only_the_wait() {
+fn lost_notice_only_delays_takeover() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(8, 3, FleetConfig::default(), seed);
         run_sampled(&mut mesh, 8_000, seed);
@@ -63,7 +74,7 @@
         mesh.input(1, Input::Drain);
         run_sampled(&mut mesh, 8_000, seed);
         assert!(has_left(&mesh, 1), "seed {seed}");
-        assert_eq!(unowned(&mesh), 0, "seed {seed}");
+        assert_eq!(count_unowned(&mesh), 0, "seed {seed}");
     }
 }
 
--- a/crates/core/tests/listed_upstreams.rs
+++ b/crates/core/tests/listed_upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams that list themselves in the store.
+//! Guards against calls to upstreams that have left the list in the store, and against listed
+//! upstreams that get no calls.
 
 use knapweeddale_core::UpstreamName;
 use knapweeddale_testing::relays::{RelayCall, RelayFleet, account, fleet, listed, upstreams};
@@ -13,7 +14,7 @@
 }
 
 /// Sends calls to a VM and returns the upstreams that they ran on.
-fn used(relays: &mut RelayFleet, vm: usize) -> Vec<String> {
+fn send_calls(relays: &mut RelayFleet, vm: usize) -> Vec<String> {
     let before = relays.runs.len();
     for _ in 0..6 {
         relays.call(vm, RelayCall::tool("bus"));
@@ -26,7 +27,7 @@
     names
 }
 
-/// Guards against calls to an upstream that says it leaves.
+/// Guards against calls to an upstream whose entry says that it is leaving.
 #[rstest]
 fn leaving() {
     let mut relays = start();
@@ -35,26 +36,26 @@
     relays.store.list(list);
     relays.run_ms(1_500);
     for vm in 0..4 {
-        assert_eq!(used(&mut relays, vm), ["tool-2"]);
+        assert_eq!(send_calls(&mut relays, vm), ["tool-2"]);
     }
 }
 
-/// Guards against calls to an upstream that has gone without a word.
+/// Guards against calls to an upstream whose entry has disappeared without notice.
 #[rstest]
-fn gone() {
+fn delisted() {
     let mut relays = start();
     let mut list = upstreams(2);
     list.upstreams.remove(2);
     relays.store.list(list);
     relays.run_ms(1_500);
     for vm in 0..4 {
-        assert_eq!(used(&mut relays, vm), ["tool-2"]);
+        assert_eq!(send_calls(&mut relays, vm), ["tool-2"]);
     }
 }
 
-/// Guards against upstreams dropped because their entries lapsed while the store was away.
+/// Guards against the removal of upstreams whose entries expired while the store was down.
 #[rstest]
-fn lapsed_entries() {
+fn expired_entries() {
     let mut relays = start();
     relays.store.set_down(true);
     relays.run_ms(4_000);
@@ -63,31 +64,32 @@
     relays.store.list(list);
     relays.store.set_down(false);
     relays.run_ms(1_000);
-    assert_eq!(used(&mut relays, 0), ["tool-1", "tool-2"]);
-    // One of them has written its entry again, the other has gone.
+    assert_eq!(send_calls(&mut relays, 0), ["tool-1", "tool-2"]);
+    // One of them has written its entry again, the other has not.
     let mut list = upstreams(3);
     list.upstreams.remove(3);
     relays.store.list(list);
     relays.run_ms(3_000);
     for vm in 0..4 {
-        assert_eq!(used(&mut relays, vm), ["tool-1"]);
+        assert_eq!(send_calls(&mut relays, vm), ["tool-1"]);
     }
 }
 
 /// Guards against a new upstream that gets no calls.
 #[rstest]
-fn arrived() {
+fn added() {
     let mut relays = start();
     let mut list = upstreams(2);
     list.upstreams = vec![listed("engine-1", "models"), listed("tool-9", "tools")];
     relays.store.list(list);
     relays.run_ms(1_500);
-    assert_eq!(used(&mut relays, 3), ["tool-9"]);
+    assert_eq!(send_calls(&mut relays, 3), ["tool-9"]);
 }
 
-/// Guards against memory of an upstream that has started again under its name.
+/// Guards against cache hints that remain valid after their upstream has restarted under the
+/// same name.
 #[rstest]
-fn reborn() {
+fn restarted() {
     let mut relays = start();
     let mut list = upstreams(2);
     list.upstreams[0].config.started_unix_ms = 99;
--- a/crates/core/tests/memory_release.rs
+++ b/crates/core/tests/memory_release.rs
@@ -1,4 +1,5 @@
-//! Guards against engine memory that programs leave behind, and against late releases.
+//! Guards against engine memory that stays allocated after its program has ended, and against a
+//! late release that hits a new program of the same name.
 
 use knapweeddale_core::{ProgramRequestKind, UpstreamName};
 use knapweeddale_testing::callers::{Kind, call, fleet, key_of, request};
@@ -6,7 +7,7 @@
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 
 /// Runs one turn of `tour` and returns the mesh and the VM that is its home.
-fn one_turn() -> (Mesh, usize) {
+fn run_one_turn() -> (Mesh, usize) {
     let mut mesh = Mesh::new(3, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
     let home = mesh.home_of(0, &key_of("tour")).expect("a home");
@@ -15,37 +16,41 @@
     (mesh, home)
 }
 
-/// Returns how many releases are not confirmed at a VM.
-fn open(mesh: &Mesh, vm: usize) -> usize {
+/// Counts the releases of a VM that are not confirmed yet.
+fn count_unconfirmed(mesh: &Mesh, vm: usize) -> usize {
     mesh.tables(vm).homes.releases.len()
 }
 
 #[test]
-fn lapsed_program_is_released() {
-    let (mut mesh, home) = one_turn();
+fn expired_program_is_released() {
+    let (mut mesh, home) = run_one_turn();
     mesh.run_ms(601_000);
     assert!(!mesh.tables(home).programs.contains_key(&key_of("tour")));
-    assert_eq!(open(&mesh, home), 0);
+    assert_eq!(count_unconfirmed(&mesh, home), 0);
     invariants::memory_released(&mesh).expect("memory");
 }
 
 #[test]
 fn release_is_repeated_until_confirmed() {
-    let (mut mesh, home) = one_turn();
+    let (mut mesh, home) = run_one_turn();
     let engines = ["engine-1", "engine-2", "engine-3", "engine-4"];
     mesh.engines.silent = engines.map(UpstreamName::from).into();
     mesh.program(home, request(ProgramRequestKind::End, "tour", None));
     mesh.run_ms(10_000);
-    assert_eq!(open(&mesh, home), 1, "still repeated");
+    assert_eq!(
+        count_unconfirmed(&mesh, home),
+        1,
+        "repeated until confirmed"
+    );
     mesh.engines.silent.clear();
     mesh.run_ms(31_000);
-    assert_eq!(open(&mesh, home), 0);
+    assert_eq!(count_unconfirmed(&mesh, home), 0);
     invariants::memory_released(&mesh).expect("memory");
 }
 
 #[test]
-fn release_ends_with_its_upstream() {
-    let (mut mesh, home) = one_turn();
+fn release_ends_when_upstream_is_removed() {
+    let (mut mesh, home) = run_one_turn();
     let engines = ["engine-1", "engine-2", "engine-3", "engine-4"];
     mesh.engines.silent = engines.map(UpstreamName::from).into();
     mesh.program(home, request(ProgramRequestKind::End, "tour", None));
@@ -55,11 +60,11 @@
     smaller.services[0].upstreams.clear();
     mesh.publish(home, smaller);
     mesh.run_ms(31_000);
-    assert_eq!(open(&mesh, home), 0);
+    assert_eq!(count_unconfirmed(&mesh, home), 0);
 }
 
 #[test]
-fn memory_of_a_lost_entry_vm_is_released() {
+fn memory_is_released_after_entry_vm_crash() {
     let mut mesh = Mesh::new(5, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
     let home = mesh.home_of(0, &key_of("tour")).expect("a home");
@@ -74,8 +79,8 @@
 }
 
 #[test]
-fn reborn_program_keeps_its_memory() {
-    let (mut mesh, home) = one_turn();
+fn new_program_keeps_its_memory() {
+    let (mut mesh, home) = run_one_turn();
     let engines = ["engine-1", "engine-2", "engine-3", "engine-4"];
     mesh.engines.silent = engines.map(UpstreamName::from).into();
     mesh.program(home, request(ProgramRequestKind::End, "tour", None));
@@ -96,8 +101,8 @@
 }
 
 #[test]
-fn row_stays_small() {
-    let (mesh, home) = one_turn();
+fn program_row_stays_small() {
+    let (mesh, home) = run_one_turn();
     let row = mesh.tables(home).programs.get(&key_of("tour"));
     let mut row = row.expect("a row").clone();
     assert!(row.row_bytes() < 512, "{} bytes", row.row_bytes());
--- a/crates/core/tests/model_orders.rs
+++ b/crates/core/tests/model_orders.rs
@@ -1,6 +1,6 @@
-//! Guards against engines that follow an old owner's orders, two owners that
-//! order at once, loads that overrun the weight store, and calls placed on an
-//! engine before its model is loaded.
+//! Guards against engines that execute orders of a former owner, two owners that send orders at
+//! once, more model loads than the weight store can serve, and calls placed on an engine before
+//! its model is loaded.
 
 use knapweeddale_core::output::OrderAction;
 use knapweeddale_core::{FleetConfig, ModelName, ServiceName, UpstreamName};
@@ -8,9 +8,10 @@
 use knapweeddale_testing::mesh::Mesh;
 use knapweeddale_testing::seeds;
 
+/// Timeout of an order, as in the default settings.
 const ORDER_MS: u64 = 30_000;
 
-/// A fleet of three engines whose first ones check fencing tokens or not.
+/// Makes a fleet of three engines, which check fencing tokens or not.
 fn fleet(checks_fencing: bool) -> FleetConfig {
     let mut fleet = engine_fleet(3, 4, 2);
     for service in &mut fleet.services {
@@ -35,15 +36,16 @@
     mesh
 }
 
-fn owner(mesh: &Mesh, vm: usize) -> usize {
+/// Returns the VM that owns the orders, as `vm` knows it.
+fn find_owner(mesh: &Mesh, vm: usize) -> usize {
     let service = ServiceName::from("chat");
     let owner = mesh.tables(vm).view.orders_owner(&service);
     mesh.index(owner.expect("owner"))
         .expect("owner is in the mesh")
 }
 
-/// Asserts that no engine carried out an order with a lower token after a higher one.
-fn assert_tokens_grow(mesh: &Mesh, seed: u64) {
+/// Asserts that no engine executed an order with a lower token after a higher one.
+fn assert_tokens_ascend(mesh: &Mesh, seed: u64) {
     let mut last = std::collections::BTreeMap::new();
     for (at_us, order) in &mesh.orders.executed {
         let before = last.insert(order.upstream.clone(), order.token);
@@ -52,7 +54,7 @@
     }
 }
 
-/// Asks for a further model on all engines.
+/// Publishes a configuration with a further model on all engines.
 fn add_model(mesh: &mut Mesh, checks_fencing: bool) {
     let mut fleet = fleet(checks_fencing);
     fleet.revision.0 += 1;
@@ -108,21 +110,21 @@
 }
 
 #[test]
-fn paused_owner_orders_nothing_late() {
+fn paused_owner_sends_no_late_order() {
     for checks_fencing in [true, false] {
         for seed in seeds() {
             let mut mesh = mesh(checks_fencing, seed);
             mesh.run_with_reports_ms(60_000);
-            // Orders are on their way for as long as they may be.
+            // Orders take nearly their whole timeout.
             mesh.orders.delay_us = (ORDER_MS - 1_000) * 1_000;
-            let old = owner(&mesh, 0);
+            let old = find_owner(&mesh, 0);
             add_model(&mut mesh, checks_fencing);
             mesh.run_with_reports_ms(1_500);
             mesh.pause(old, 20_000_000);
             mesh.run_with_reports_ms(15_000);
             mesh.orders.delay_us = 1_000;
             mesh.run_with_reports_ms(120_000);
-            assert_tokens_grow(&mesh, seed);
+            assert_tokens_ascend(&mesh, seed);
             let large = ModelName::from("large");
             let all = mesh
                 .orders
@@ -135,12 +137,12 @@
 }
 
 #[test]
-fn lost_answers_repeat_orders() {
+fn lost_answers_only_repeat_orders() {
     for seed in seeds() {
         let mut mesh = mesh(false, seed);
         mesh.orders.lost_answers_per_mille = 500;
         mesh.run_with_reports_ms(200_000);
-        assert_tokens_grow(&mesh, seed);
+        assert_tokens_ascend(&mesh, seed);
         let small = ModelName::from("small");
         assert!(
             mesh.orders
--- a/crates/core/tests/old_incarnation.rs
+++ b/crates/core/tests/old_incarnation.rs
@@ -1,4 +1,4 @@
-//! Guards against messages that a VM sent before it was restarted.
+//! Guards against messages that a VM sent before it was restarted and that arrive afterwards.
 
 use knapweeddale_core::message::{Heartbeat, MembershipMessage};
 use knapweeddale_core::{Decision, Epoch, FleetConfig, Input, Revision};
@@ -29,7 +29,7 @@
         mesh.input(0, input);
         mesh.run_ms(10);
         let tables = mesh.tables(0);
-        let row = tables.vms.get(&member.vm).expect("VM was heard");
+        let row = tables.vms.get(&member.vm).expect("VM has sent a heartbeat");
         assert!(row.incarnation > member.incarnation, "seed {seed}");
         assert!(
             row.epoch < Epoch(99) && !row.leaving,
--- a/crates/core/tests/paused_owner.rs
+++ b/crates/core/tests/paused_owner.rs
@@ -1,5 +1,5 @@
-//! Guards against an owner that lends after its lease has ended while its
-//! successor lends the same rate.
+//! Guards against an owner that grants shares after its lease has ended, while its successor
+//! grants the same rate.
 
 use knapweeddale_core::Input;
 use knapweeddale_testing::scenario::{Scenario, VMS};
@@ -11,7 +11,8 @@
         let mut scenario = Scenario::new(seed);
         scenario.drive_ms(5_000);
         let owner = scenario.owner("aller");
-        // From just before a successor takes over until after it has freed what it withheld.
+        // The pause ends between just before a successor takes over and after the successor grants
+        // the rate that it withheld until old shares ended.
         let pause_ms = 2_000 + seed % 12 * 1_000;
         scenario.mesh.pause(owner, pause_ms * 1_000);
         scenario.drive_ms(25_000);
--- a/crates/core/tests/paused_writer.rs
+++ b/crates/core/tests/paused_writer.rs
@@ -1,4 +1,4 @@
-//! Guards against a writer that wakes from a pause and writes or confirms an old view.
+//! Guards against a writer that resumes after a pause and writes or confirms an old view.
 
 use knapweeddale_core::FleetConfig;
 use knapweeddale_testing::{Random, assert_members, run_sampled, seeds, settled_mesh};
@@ -29,7 +29,7 @@
             let writers = mesh.writers(0);
             let dead = (0..8).find(|vm| !writers.contains(vm)).expect("a member");
             mesh.crash(dead);
-            // The first writer writes the view without the dead VM about now.
+            // The first writer writes the view without the dead VM at about this time.
             mesh.run_ms(random.between(2_000, 2_600));
             mesh.pause(writers[0], random.between(1_000_000, 9_000_000));
             run_sampled(&mut mesh, 12_000, seed);
@@ -50,7 +50,7 @@
             let dead = (0..8).find(|vm| !writers.contains(vm)).expect("a member");
             mesh.store.is_down = true;
             run_sampled(&mut mesh, 8_000, seed);
-            // One writer promises and pauses; the other one meets the store again.
+            // One writer makes a promise and pauses; the other one reaches the store again.
             mesh.pause(writers[random.below(2) as usize], 15_000_000);
             mesh.crash(dead);
             mesh.run_ms(random.between(0, 3_000));
