--- a/crates/relay/src/call/attempt.rs
+++ b/crates/relay/src/call/attempt.rs
@@ -85,8 +85,8 @@
         let deadline = started + Duration::from_micros(left_us);
         let address = &self.dispatch.address;
         let pool = &self.shared.pool;
-        let taken = pool.acquire(address, self.is_repeatable, &self.shared.metrics);
-        let mut connection = match timeout_at(deadline, taken).await {
+        let acquired = pool.acquire(address, self.is_repeatable, &self.shared.metrics);
+        let mut connection = match timeout_at(deadline, acquired).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(error)) => {
                 let upstream = &self.dispatch.upstream;
@@ -133,33 +133,33 @@
         );
         let request = request::encode_request(self.parts, &headers, self.body);
         let sent = Instant::now();
-        let first = sent + Duration::from_millis(self.dispatch.first_token_ms);
-        let limit = deadline.min(first);
+        let first_deadline = sent + Duration::from_millis(self.dispatch.first_token_ms);
+        let limit = deadline.min(first_deadline);
         self.progress.may_be_sent = true;
         let exchange = timeout_at(limit, connection.exchange(&request)).await;
         let exchange = exchange.map_err(|_| self.timeout_failure())?;
         let exchange = exchange.map_err(|error| self.failure(&error))?;
         let mut head = exchange.head;
-        let mut answer = self
+        let mut info = self
             .shared
             .dialect
             .decode_response(head.status, &head.headers);
         for _ in 0..MAX_MISMATCHED_RESPONSES {
-            if !self.is_mismatched(&answer) {
+            if !self.is_mismatched(&info) {
                 break;
             }
             head = self.skip_response(connection, &head, limit).await?;
-            answer = self
+            info = self
                 .shared
                 .dialect
                 .decode_response(head.status, &head.headers);
         }
-        if self.is_mismatched(&answer) {
+        if self.is_mismatched(&info) {
             return Err(self.invalid_response("it belongs to another request"));
         }
         let is_reusable = exchange.is_request_complete && head.is_keep_alive;
         let end = match self.dispatch.events {
-            Some(form) if head.status.is_success() && is_authentic(&head, &answer) => {
+            Some(form) if head.status.is_success() && is_authentic(&head, &info) => {
                 let end = self
                     .forward_stream(connection, &head, form, (sent, deadline))
                     .await?;
@@ -167,17 +167,17 @@
             }
             _ => {
                 let whole = self.read_whole(connection, &head, deadline).await?;
-                (self.classify_response(&head, &answer, whole.0), whole.1)
+                (self.classify_response(&head, &info, whole.0), whole.1)
             }
         };
-        let keep = (is_reusable && end.1).then_some(KeepAlive(answer.keep_alive_s));
-        Ok((end.0, keep))
+        let keep_alive = (is_reusable && end.1).then_some(KeepAlive(info.keep_alive_s));
+        Ok((end.0, keep_alive))
     }
 
     /// Returns whether a response carries the ID of another request.
-    fn is_mismatched(&self, answer: &ResponseInfo) -> bool {
-        match (&answer.request_id, &self.head.request_id) {
-            (Some(answered), Some(asked)) => answered != asked,
+    fn is_mismatched(&self, info: &ResponseInfo) -> bool {
+        match (&info.request_id, &self.head.request_id) {
+            (Some(answered), Some(expected)) => answered != expected,
             _ => false,
         }
     }
@@ -226,16 +226,16 @@
     fn classify_response(
         &self,
         head: &ResponseHead,
-        answer: &ResponseInfo,
+        info: &ResponseInfo,
         body: Bytes,
     ) -> AttemptEnd {
         let status = head.status;
-        let refuses = answer.is_not_run && (status.is_server_error() || implies_not_run(status));
+        let refuses = info.is_not_run && (status.is_server_error() || implies_not_run(status));
         if refuses || status == StatusCode::MISDIRECTED_REQUEST {
             let status = status.as_u16();
             return Failure::RefusedByUpstream { status }.into();
         }
-        if status.is_success() && !is_authentic(head, answer) {
+        if status.is_success() && !is_authentic(head, info) {
             return self
                 .invalid_response("it is unsigned or has a content-encoding")
                 .into();
@@ -378,8 +378,8 @@
 
 /// Returns whether a successful response is the upstream's own: signed, and without a
 /// `content-encoding`.
-fn is_authentic(head: &ResponseHead, answer: &ResponseInfo) -> bool {
-    answer.is_signed && !head.headers.contains_key(header::CONTENT_ENCODING)
+fn is_authentic(head: &ResponseHead, info: &ResponseInfo) -> bool {
+    info.is_signed && !head.headers.contains_key(header::CONTENT_ENCODING)
 }
 
 /// Converts an upstream's response to the response for the caller.
--- a/crates/relay/src/call/task.rs
+++ b/crates/relay/src/call/task.rs
@@ -180,9 +180,9 @@
 }
 
 /// Converts a response of the platform adapter to one with an empty body.
-pub(crate) fn to_response(answer: LocalResponse) -> Response<RelayBody> {
+pub(crate) fn to_response(local: LocalResponse) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::whole(Bytes::new()));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers;
+    *response.status_mut() = local.status;
+    *response.headers_mut() = local.headers;
     response
 }
--- a/crates/relay/src/upstream/body.rs
+++ b/crates/relay/src/upstream/body.rs
@@ -96,13 +96,13 @@
         Ok(whole.map_or(first, Bytes::from))
     }
 
-    /// Returns buffered bytes, at most `most`; waits for some if there are none.
-    async fn read_part(&mut self, most: u64) -> Result<Bytes, ReadError> {
+    /// Returns buffered bytes, at most `max_len`; waits for some if there are none.
+    async fn read_part(&mut self, max_len: u64) -> Result<Bytes, ReadError> {
         if self.connection.buffer.is_empty() && self.connection.fill().await? == 0 {
             return Err(ReadError::Ended);
         }
-        let most = usize::try_from(most).unwrap_or(usize::MAX);
-        let bytes = self.connection.buffer.len().min(most);
+        let max_len = usize::try_from(max_len).unwrap_or(usize::MAX);
+        let bytes = self.connection.buffer.len().min(max_len);
         Ok(self.connection.buffer.split_to(bytes).freeze())
     }
 
--- a/crates/relay/src/upstream/connection.rs
+++ b/crates/relay/src/upstream/connection.rs
@@ -110,11 +110,11 @@
                 }
             }
         }
-        let is_sent = sent == request.len();
+        let is_request_complete = sent == request.len();
         match self.read_head().await {
             Ok(head) => Ok(Exchange {
                 head,
-                is_request_complete: is_sent,
+                is_request_complete,
             }),
             // If both failed, the write failed first and shows the cause.
             Err(error) => Err(write_error.map_or(error, |source| ReadError::Broken { source })),
