--- a/crates/relay/src/daemon.rs
+++ b/crates/relay/src/daemon.rs
@@ -201,7 +201,7 @@
     }
 }
 
-/// # Observation
+/// # Addresses and readiness
 impl<D, C> Relay<D, C> {
     /// Returns the address on which callers are served.
     pub fn address(&self) -> SocketAddr {
--- a/crates/relay/src/explain.rs
+++ b/crates/relay/src/explain.rs
@@ -68,7 +68,7 @@
         .iter()
         .filter(|line| line.request.as_deref() == Some(request));
     let calls: BTreeSet<&str> = named.filter_map(|line| line.call.as_deref()).collect();
-    let is_about = |line: &&Line| {
+    let is_related = |line: &&Line| {
         let attempt = line.attempt.as_deref();
         let attempt_parts = attempt.and_then(|attempt| attempt.rsplit_once('.'));
         line.request.as_deref() == Some(request)
@@ -78,7 +78,7 @@
                 .is_some_and(|call| calls.contains(call))
             || attempt_parts.is_some_and(|(call, _)| calls.contains(call))
     };
-    let mut lines: Vec<&Line> = all_lines.iter().filter(is_about).collect();
+    let mut lines: Vec<&Line> = all_lines.iter().filter(is_related).collect();
     lines.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
     let messages: Vec<&str> = lines
         .iter()
--- a/crates/relay/src/store/budgets.rs
+++ b/crates/relay/src/store/budgets.rs
@@ -38,16 +38,16 @@
 
 /// Reserves tokens for the next turns of a program; returns 0 if its budget is too small.
 ///
-/// `new` is the record to create if the program has none. A write whose answer is lost may have
-/// taken effect. Its tokens then stay unused, so the budget is never exceeded.
+/// `new_record` is created if the program has no record. A write whose answer is lost may have
+/// taken effect. Its tokens then stay unused, which keeps the program within its budget.
 pub(super) async fn reserve<S: ObjectApi>(
     store: &S,
-    new: BudgetRecord,
+    new_record: BudgetRecord,
     has_record: bool,
     needed_tokens: u64,
     records: &RecordCache,
 ) -> Result<u64, StoreError> {
-    let key = record_key(&new.program);
+    let key = record_key(&new_record.program);
     // Most programs have no record yet, or one that this VM wrote last, and need no read. A
     // record that another VM wrote must be read, since a write without its version fails.
     let mut known = match records.get(&key) {
@@ -57,11 +57,11 @@
     for _ in 0..MAX_CONFLICTS {
         let (mut record, version) = match &known {
             Some(object) => (decode_record(&key, object)?, object.version),
-            None => (new.clone(), 0),
+            None => (new_record.clone(), 0),
         };
-        let before = record.clone();
+        let previous = record.clone();
         let tokens = record.reserve(needed_tokens);
-        if record == before {
+        if record == previous {
             return Ok(tokens);
         }
         let value = serde_json::to_vec(&record).map_err(|error| invalid_record(&key, &error))?;
@@ -208,9 +208,9 @@
                 .map_err(|error| invalid_record(LOSSES_KEY, &error))?,
             None => Losses::default(),
         };
-        let before = losses.clone();
+        let previous = losses.clone();
         losses.record(unix_ms());
-        if losses == before {
+        if losses == previous {
             return Ok(losses.count());
         }
         let value =
--- a/crates/relay/src/store/mod.rs
+++ b/crates/relay/src/store/mod.rs
@@ -124,10 +124,12 @@
                 needed_tokens,
                 has_record,
             } => {
-                let new = BudgetRecord::new(program.clone(), budget_tokens, turn_tokens, losses);
+                let new_record =
+                    BudgetRecord::new(program.clone(), budget_tokens, turn_tokens, losses);
                 let records = &self.budget_records;
                 let tokens =
-                    budgets::reserve(&*self.store, new, has_record, needed_tokens, records).await?;
+                    budgets::reserve(&*self.store, new_record, has_record, needed_tokens, records)
+                        .await?;
                 Ok(SourceEvent::Reserved { program, tokens })
             }
         }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,8 +1,8 @@
 //! The control thread of a daemon, without the front end and the clients around it.
 //!
 //! One thread owns the core's [`Control`](knapweeddale_core::Control) value. Traffic threads
-//! reach it over a bounded [queue](input_queue), and an implementation of [`OutputHandler`] dispatches
-//! its outputs. The crate also has helpers for IDs, clocks, probes and metrics.
+//! reach it over a bounded [queue](input_queue), and an implementation of [`OutputHandler`]
+//! dispatches its outputs. The crate also has helpers for IDs, clocks, probes and metrics.
 
 mod clock;
 mod control_loop;
