--- a/crates/core/tests/paused_owner.rs
+++ b/crates/core/tests/paused_owner.rs
@@ -11,8 +11,8 @@
         let mut scenario = Scenario::new(seed);
         scenario.drive_ms(5_000);
         let owner = scenario.owner("aller");
-        // The pause ends between just before a successor takes over and after the successor grants
-        // the rate that it withheld until old shares ended.
+        // The pauses end at times from just before a successor takes over to after the successor
+        // has released the rate that it withheld.
         let pause_ms = 2_000 + seed % 12 * 1_000;
         scenario.mesh.pause(owner, pause_ms * 1_000);
         scenario.drive_ms(25_000);
--- a/crates/core/tests/poison_request.rs
+++ b/crates/core/tests/poison_request.rs
@@ -1,5 +1,5 @@
-//! Guards against a request that crashes every upstream that runs it, and
-//! against blame for the requests that happened to run beside it.
+//! Guards against a request that crashes every upstream that runs it, and against quarantine of
+//! the requests that merely ran at the same time.
 
 use knapweeddale_core::input::{AttemptProgress, Failure};
 use knapweeddale_core::{
@@ -10,9 +10,10 @@
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use knapweeddale_testing::seeds;
 
+/// Content of the request that crashes upstreams.
 const POISON: u64 = 666;
 
-/// Makes a mesh of VMs that share one view from the start.
+/// Makes a mesh of VMs whose view is stored from the start.
 fn mesh(vms: usize, seed: u64) -> Mesh {
     let mut mesh = Mesh::with_settings(vms, engine_fleet(6, 4, 2), seed, |vm, incarnation| {
         CoreSettings::builder()
@@ -28,13 +29,13 @@
     mesh
 }
 
-/// Returns all crashes of all upstreams.
-fn crashes(mesh: &Mesh) -> u64 {
+/// Counts the crashes of all upstreams.
+fn count_crashes(mesh: &Mesh) -> u64 {
     mesh.engines.crashes.values().sum()
 }
 
-/// Sends innocent calls with different contents to all VMs in turn.
-fn send_innocent(mesh: &mut Mesh, vms: usize, calls: u64) -> Vec<CallId> {
+/// Sends harmless calls with different contents to all VMs in turn.
+fn send_harmless(mesh: &mut Mesh, vms: usize, calls: u64) -> Vec<CallId> {
     let call = |content| engine_call(0, content, 500, 100);
     (0..calls)
         .map(|content| mesh.call(content as usize % vms, call(content)))
@@ -54,14 +55,14 @@
 }
 
 #[test]
-fn one_crash_too_many() {
+fn quarantined_after_three_crashes() {
     for seed in seeds() {
         let mut mesh = mesh(1, seed);
-        let innocent = send_innocent(&mut mesh, 1, 12);
+        let harmless = send_harmless(&mut mesh, 1, 12);
         let poison = mesh.call(0, engine_call(1, POISON, 500, 100));
         mesh.run_ms(40_000);
-        assert_eq!(crashes(&mesh), 3, "seed {seed}");
-        for id in innocent {
+        assert_eq!(count_crashes(&mesh), 3, "seed {seed}");
+        for id in harmless {
             assert!(mesh.trace.answer(id).is_some(), "seed {seed}: {id}");
         }
         let refusal = mesh.trace.refusal(poison).expect("poison is refused");
@@ -77,18 +78,22 @@
         let mut mesh = mesh(4, seed);
         mesh.faults.lost_per_mille = 20;
         mesh.faults.doubled_per_mille = 20;
-        let mut innocent = Vec::new();
+        let mut harmless = Vec::new();
         for round in 0..30 {
             let vm = round % 4;
             mesh.call(vm, engine_call(1, POISON, 500, 100));
-            innocent.extend(send_innocent(&mut mesh, 4, 4));
+            harmless.extend(send_harmless(&mut mesh, 4, 4));
             mesh.run_ms(700);
         }
         mesh.run_ms(60_000);
-        // Copies that already run elsewhere before the first crash come on top;
+        // Copies that already run elsewhere before the first crash could crash more upstreams;
         // here they are sent one after another.
-        assert!(crashes(&mesh) <= 3, "seed {seed}: {}", crashes(&mesh));
-        for id in innocent {
+        assert!(
+            count_crashes(&mesh) <= 3,
+            "seed {seed}: {}",
+            count_crashes(&mesh)
+        );
+        for id in harmless {
             assert!(mesh.trace.answer(id).is_some(), "seed {seed}: {id}");
         }
         invariants::refusal_is_true(&mesh.trace).expect("refusals are true");
@@ -96,18 +101,18 @@
 }
 
 #[test]
-fn innocent_is_delayed_by_its_run_alone() {
+fn harmless_call_waits_for_exclusive_run_only() {
     for seed in seeds() {
         let mut mesh = mesh(1, seed);
         let start_us = mesh.now_us();
-        let innocent = send_innocent(&mut mesh, 1, 10);
+        let harmless = send_harmless(&mut mesh, 1, 10);
         mesh.call(0, engine_call(1, POISON, 500, 100));
         mesh.run_ms(40_000);
-        // Two crashes with their examination, the drain of an upstream and the run alone.
+        // Two crashes with their examination, the drain of an upstream and the exclusive run.
         let run_us = 1_000 + 500 * 20 + 100 * 5_000;
         let bound_us = start_us + 4 * run_us;
-        for id in innocent {
-            let last_us = last_run_us(&mesh, id).expect("innocent call ran");
+        for id in harmless {
+            let last_us = last_run_us(&mesh, id).expect("harmless call ran");
             assert!(last_us <= bound_us, "seed {seed}: {id} at {last_us} us");
         }
     }
@@ -119,19 +124,19 @@
     mesh.call(0, engine_call(1, POISON, 500, 100));
     mesh.run_ms(20_000);
     for vm in 0..3 {
-        let before = crashes(&mesh);
+        let before = count_crashes(&mesh);
         let id = mesh.call(vm, engine_call(1, POISON, 500, 100));
         mesh.run_ms(1);
         let refusal = mesh.trace.refusal(id).expect("refused at admission");
         assert_eq!(refusal.kind, RefusalKind::Quarantined);
-        assert_eq!(crashes(&mesh), before);
+        assert_eq!(count_crashes(&mesh), before);
     }
 }
 
 #[test]
-fn broken_connections_are_no_crash() {
+fn lost_connection_is_no_crash() {
     let mut mesh = mesh(1, 1);
-    // The same innocent content loses its connection in call after call.
+    // Calls with the same harmless content lose their connections one after another.
     for _ in 0..5 {
         let id = mesh.call(0, engine_call(0, 7, 500, 400));
         mesh.run_ms(100);
@@ -152,7 +157,7 @@
         mesh.run_ms(10_000);
         assert!(mesh.trace.answer(id).is_some(), "call {id} completes");
     }
-    let is_blamed = mesh.trace.events.iter().any(|(_, event)| {
+    let counts_as_crash = mesh.trace.events.iter().any(|(_, event)| {
         matches!(
             event,
             TraceEvent::Decided {
@@ -161,7 +166,7 @@
             }
         )
     });
-    assert!(!is_blamed, "a broken connection counted as a crash");
+    assert!(!counts_as_crash, "a broken connection counted as a crash");
     let suspects = &mesh.control(0).expect("VM runs").tables().suspects;
     assert!(suspects.is_empty());
     assert!(
@@ -173,7 +178,7 @@
 }
 
 #[test]
-fn count_survives_the_owner() {
+fn crash_count_outlives_owner() {
     for seed in seeds() {
         let mut mesh = mesh(3, seed);
         let view = stored_view(1, &[0, 1, 2]).view;
@@ -191,8 +196,8 @@
         let others: Vec<usize> = (0..3).filter(|vm| *vm != owner).collect();
         mesh.call(others[0], engine_call(1, POISON, 500, 100));
         mesh.run_ms(30);
-        // The owner dies after at least one crash; the entry VM carries the count on.
-        let before = crashes(&mesh);
+        // The owner dies after at least one crash; the entry VM keeps the count.
+        let before = count_crashes(&mesh);
         assert!(before >= 1, "seed {seed}");
         mesh.crash(owner);
         let stored = stored_view(2, &others);
@@ -205,6 +210,10 @@
             mesh.run_ms(1_000);
         }
         mesh.run_ms(30_000);
-        assert!(crashes(&mesh) <= 3, "seed {seed}: {}", crashes(&mesh));
+        assert!(
+            count_crashes(&mesh) <= 3,
+            "seed {seed}: {}",
+            count_crashes(&mesh)
+        );
     }
 }
--- a/crates/core/tests/pool_owner.rs
+++ b/crates/core/tests/pool_owner.rs
@@ -1,5 +1,5 @@
-//! Guards against calls that are lost, counted twice or stuck when messages
-//! to the owner of a pool are lost, or the owner itself is.
+//! Guards against calls that are lost, counted twice or stuck when messages to the owner of a
+//! pool are lost or the owner crashes.
 
 use knapweeddale_core::input::{AttemptProgress, Failure};
 use knapweeddale_core::output::PlacementReason;
@@ -9,7 +9,7 @@
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use knapweeddale_testing::seeds;
 
-/// Makes a mesh whose VMs share a view; returns it with the pool's owner first.
+/// Makes a mesh whose VMs share a view; returns it with the pool's owner and the other VMs.
 fn mesh(engines: usize, max_calls: u32, seed: u64) -> (Mesh, usize, Vec<usize>) {
     let mut mesh = Mesh::new(3, engine_fleet(engines, max_calls, 2), seed);
     let stored = stored_view(1, &[0, 1, 2]);
@@ -21,7 +21,7 @@
     (mesh, owner, others)
 }
 
-/// Returns the pool of the engines.
+/// Returns the key of the engines' pool.
 fn pool(mesh: &Mesh, vm: usize) -> PoolKey {
     let tables = control(mesh, vm).tables();
     tables.pools.iter().next().expect("pool").0.clone()
@@ -31,8 +31,8 @@
     mesh.control(vm).expect("VM runs")
 }
 
-/// Puts a view in force on some VMs.
-fn adopt(mesh: &mut Mesh, epoch: u64, members: &[usize]) {
+/// Stores a view and applies it on its members.
+fn apply_view(mesh: &mut Mesh, epoch: u64, members: &[usize]) {
     let stored = stored_view(epoch, members);
     mesh.store.stored = Some(stored.clone());
     for &vm in members {
@@ -81,7 +81,7 @@
     let calls: Vec<_> = (0..6)
         .map(|content| mesh.call(others[0], engine_call(0, content, 100, 1_000)))
         .collect();
-    // Later than the others, whatever order their messages arrive in.
+    // The last call is sent later, so that it arrives last whatever the message delays.
     mesh.run_ms(5);
     // The limit starts in the middle of its range: two calls on each engine.
     let waiting = mesh.call(others[1], engine_call(0, 100, 100, 10));
@@ -90,7 +90,7 @@
     let running: Vec<_> = before.iter().map(|(attempt, _)| *attempt).collect();
     assert_eq!(running.len(), 4);
     mesh.crash(owner);
-    adopt(&mut mesh, 2, &others);
+    apply_view(&mut mesh, 2, &others);
     mesh.run_ms(50);
     let view = stored_view(2, &others).view;
     let next = view.pool_owner(&pool(&mesh, others[0])).expect("owner");
@@ -106,9 +106,9 @@
 }
 
 #[test]
-fn places_alone_while_the_owner_is_silent() {
+fn places_without_silent_owner() {
     let (mut mesh, owner, others) = mesh(2, 4, 1);
-    // The VM needs a share of its own: the crashed VM may own the account as well.
+    // The VM needs a share of the rate first: the crashed VM may own the account as well.
     mesh.call(others[0], engine_call(0, 99, 100, 10));
     mesh.run_ms(500);
     mesh.crash(owner);
@@ -117,7 +117,7 @@
     assert!(mesh.trace.answer(id).is_none());
     mesh.run_ms(300);
     assert!(mesh.trace.answer(id).is_some());
-    let is_alone = mesh.trace.events.iter().any(|(_, event)| {
+    let without_owner = mesh.trace.events.iter().any(|(_, event)| {
         matches!(
             event,
             TraceEvent::Decided {
@@ -129,17 +129,17 @@
             }
         )
     });
-    assert!(is_alone);
+    assert!(without_owner);
 }
 
 #[test]
-fn waits_for_a_busy_owner() {
+fn waits_for_busy_owner() {
     let (mut mesh, _, others) = mesh(1, 2, 1);
     for content in 0..20 {
         mesh.call(others[0], engine_call(0, content, 100, 200));
     }
     mesh.run_ms(15_000);
-    let places_alone = mesh.trace.events.iter().any(|(_, event)| {
+    let without_owner = mesh.trace.events.iter().any(|(_, event)| {
         matches!(
             event,
             TraceEvent::Decided {
@@ -152,13 +152,13 @@
         )
     });
     assert!(
-        !places_alone,
+        !without_owner,
         "a queued call left the queue of a live owner"
     );
 }
 
 #[test]
-fn queue_forgets_calls_of_a_lost_vm() {
+fn queue_drops_calls_of_crashed_vm() {
     let (mut mesh, owner, others) = mesh(1, 1, 1);
     let blocker = mesh.call(owner, engine_call(0, 1, 100, 2_000));
     mesh.run_ms(20);
@@ -175,7 +175,7 @@
     assert_eq!(waiting(&mesh), 1);
     mesh.crash(others[0]);
     let members: Vec<usize> = (0..3).filter(|vm| *vm != others[0]).collect();
-    adopt(&mut mesh, 2, &members);
+    apply_view(&mut mesh, 2, &members);
     mesh.run_ms(20);
     if stored_view(2, &members)
         .view
@@ -191,23 +191,23 @@
 }
 
 #[test]
-fn withdrawn_call_frees_its_place() {
+fn abandoned_call_leaves_queue() {
     let (mut mesh, owner, others) = mesh(1, 1, 1);
     mesh.call(others[0], engine_call(0, 1, 100, 500));
     mesh.run_ms(5);
-    let gone = mesh.call(others[1], engine_call(0, 2, 100, 500));
+    let abandoned = mesh.call(others[1], engine_call(0, 2, 100, 500));
     let last = mesh.call(others[1], engine_call(0, 3, 100, 10));
     mesh.run_ms(50);
-    mesh.input(others[1], Input::CallAbandoned(gone));
+    mesh.input(others[1], Input::CallAbandoned(abandoned));
     mesh.run_ms(10_000);
-    let refusal = mesh.trace.refusal(gone).expect("abandoned call ends");
+    let refusal = mesh.trace.refusal(abandoned).expect("abandoned call ends");
     assert_eq!(refusal.kind, RefusalKind::CallerGone);
     assert!(mesh.trace.answer(last).is_some());
     assert_idle(&mesh, owner);
 }
 
 #[test]
-fn avoided_everywhere_still_runs() {
+fn retries_on_only_upstream() {
     let mut mesh = Mesh::new(1, engine_fleet(1, 4, 1), 1);
     mesh.run_ms(100);
     let id = mesh.call(0, engine_call(0, 1, 100, 10));
@@ -225,11 +225,11 @@
 }
 
 #[test]
-fn long_wait_does_not_blame_upstreams() {
+fn long_wait_is_no_upstream_failure() {
     let mut mesh = Mesh::new(1, engine_fleet(1, 1, 1), 1);
     mesh.run_ms(100);
     let mut calls = Vec::new();
-    // The queue takes longer than the lease of the programs' home lasts.
+    // The calls wait in the queue for longer than the lease of their programs' home lasts.
     for number in 0..5 {
         let mut call = engine_call(0, number, 100, 400);
         call.program = Some(knapweeddale_core::ProgramTurn {
--- a/crates/core/tests/program_budget.rs
+++ b/crates/core/tests/program_budget.rs
@@ -1,4 +1,5 @@
-//! Guards against programs that use more than their budget.
+//! Guards against programs that use more tokens, turns or time than their budget, and against
+//! sub-agents that outlive their root.
 
 use knapweeddale_core::{ProgramRequestKind, RefusalKind};
 use knapweeddale_testing::callers::{Callers, Kind, call, fleet, key_of, request};
@@ -9,7 +10,7 @@
 #[rstest]
 #[case::tokens(1_500, 130)]
 #[case::turns(100_000, 10)]
-fn sub_agents_never_overdraw(#[case] tokens: u64, #[case] turns: u32) {
+fn sub_agents_stay_within_budget(#[case] tokens: u64, #[case] turns: u32) {
     for seed in 0..10 {
         let fleet = fleet(tokens, turns);
         let mut mesh = Mesh::new(3, fleet.clone(), seed);
@@ -21,7 +22,7 @@
         invariants::budget_holds(&mesh.trace, &fleet).expect("budget");
         let refused = callers.refused.keys();
         let over = refused.filter(|(kind, _)| *kind == RefusalKind::OverBudget);
-        assert!(over.count() > 0, "the budget is reached");
+        assert!(over.count() > 0, "no call was refused over budget");
     }
 }
 
--- a/crates/core/tests/program_tokens.rs
+++ b/crates/core/tests/program_tokens.rs
@@ -1,14 +1,15 @@
-//! Budgets of programs whose turns come through any VM.
+//! Guards against budgets that are exceeded, or refused too early, when the turns of a program
+//! arrive at any VM.
 
 use knapweeddale_core::RefusalKind;
 use knapweeddale_testing::relays::{RelayCall, RelayFleet, account, fleet, upstreams};
 use knapweeddale_testing::seeds;
 use rstest::rstest;
 
-/// The most that one turn generates.
-const MOST: u64 = 100;
+/// Maximum of tokens that one turn generates.
+const MAX_TURN_TOKENS: u64 = 100;
 
-/// Starts VMs with an account whose rate never binds.
+/// Starts VMs with an account whose rate is never reached.
 fn start(seed: u64) -> RelayFleet {
     let config = fleet(1, vec![account("bus", 100_000, 100_000)]);
     let mut relays = RelayFleet::new(8, config, upstreams(1), seed);
@@ -16,18 +17,18 @@
     relays
 }
 
-/// Makes a turn that generates as much as it may.
+/// Makes a turn that generates its maximum of tokens.
 fn turn(program: &str, budget: u64, line: u64) -> RelayCall {
-    let mut call = RelayCall::turn("bus", program, budget, MOST);
-    call.tokens = MOST;
+    let mut call = RelayCall::turn("bus", program, budget, MAX_TURN_TOKENS);
+    call.tokens = MAX_TURN_TOKENS;
     if let Some((.., known)) = &mut call.turn {
         *known = line;
     }
     call
 }
 
-/// Runs a program that loops without end, with sub-agents on all VMs at once.
-fn run_away(relays: &mut RelayFleet, program: &str, budget: u64, rounds: u64) {
+/// Runs a program that never ends by itself, with sub-agents on all VMs at once.
+fn run_endless_program(relays: &mut RelayFleet, program: &str, budget: u64, rounds: u64) {
     for round in 0..rounds {
         relays.call(0, turn(program, budget, 1));
         relays.run_ms(150);
@@ -39,34 +40,40 @@
     }
 }
 
-/// Guards against sub-agents that overdraw a budget through several VMs at once.
+/// Guards against sub-agents that exceed a budget through several VMs at once.
 #[rstest]
 fn parallel_agents(#[values(200, 300, 900, 1_500, 4_000)] budget: u64) {
     for seed in seeds() {
         let mut relays = start(seed);
-        run_away(&mut relays, "loop", budget, 12);
+        run_endless_program(&mut relays, "loop", budget, 12);
         relays.run_ms(2_000);
         let passed = relays.passed_tokens("loop");
-        assert!(passed <= budget + MOST, "seed {seed}: {passed} of {budget}");
+        assert!(
+            passed <= budget + MAX_TURN_TOKENS,
+            "seed {seed}: {passed} of {budget}"
+        );
     }
 }
 
-/// Guards against a budget that is used again after all VMs have lost their memory.
+/// Guards against a budget that is granted again after all processes were killed at once.
 #[rstest]
 fn killed_together(#[values(300, 900, 4_000)] budget: u64) {
     for seed in seeds() {
         let mut relays = start(seed);
-        run_away(&mut relays, "loop", budget, 2);
+        run_endless_program(&mut relays, "loop", budget, 2);
         for _ in 0..2 {
             (0..8).for_each(|vm| relays.kill(vm));
             relays.run_ms(400);
             (0..8).for_each(|vm| relays.restart(vm));
             relays.run_ms(2_000);
-            run_away(&mut relays, "loop", budget, 6);
+            run_endless_program(&mut relays, "loop", budget, 6);
         }
         relays.run_ms(2_000);
         let passed = relays.passed_tokens("loop");
-        assert!(passed <= budget + MOST, "seed {seed}: {passed} of {budget}");
+        assert!(
+            passed <= budget + MAX_TURN_TOKENS,
+            "seed {seed}: {passed} of {budget}"
+        );
     }
 }
 
@@ -74,7 +81,7 @@
 #[rstest]
 fn ordinary_program() {
     let mut relays = start(1);
-    // Four turns with a budget of half more than their most.
+    // Four turns, whose budget is 1.5 times the most that they can generate.
     for vm in [0, 3, 3, 5] {
         let mut call = turn("tour", 600, 1);
         call.tokens = 25;
@@ -84,7 +91,7 @@
     }
 }
 
-/// Guards against ordinary programs that end with the memory of all VMs.
+/// Guards against ordinary programs that are refused after all processes were killed at once.
 #[rstest]
 fn program_after_loss() {
     let mut relays = start(1);
@@ -103,7 +110,7 @@
 #[rstest]
 fn stays_stopped() {
     let mut relays = start(1);
-    run_away(&mut relays, "loop", 300, 8);
+    run_endless_program(&mut relays, "loop", 300, 8);
     relays.run_ms(1_000);
     let passed = relays.passed_tokens("loop");
     for vm in 0..8 {
@@ -114,20 +121,20 @@
     assert_eq!(relays.passed_tokens("loop"), passed);
 }
 
-/// Guards against turns that run without a reservation while the store is away.
+/// Guards against turns that run without a reservation while the store is down.
 #[rstest]
-fn store_away() {
+fn store_down() {
     let mut relays = start(1);
     relays.store.set_down(true);
-    run_away(&mut relays, "loop", 900, 4);
+    run_endless_program(&mut relays, "loop", 900, 4);
     relays.run_ms(1_000);
     let passed = relays.passed_tokens("loop");
-    assert!(passed <= 900 / 4 + 2 * MOST, "{passed}");
+    assert!(passed <= 900 / 4 + 2 * MAX_TURN_TOKENS, "{passed}");
     let unknown = RefusalKind::BudgetUnknown;
     assert!(relays.refusals.iter().any(|(_, row)| row.kind == unknown));
 }
 
-/// Guards against a VM that forgets what its restart has cost a program.
+/// Guards against a VM that does not count the tokens whose records its restart lost.
 #[rstest]
 fn one_restart() {
     let mut relays = start(1);
@@ -139,8 +146,8 @@
     relays.run_ms(300);
     relays.restart(0);
     relays.run_ms(1_500);
-    run_away(&mut relays, "loop", 900, 8);
+    run_endless_program(&mut relays, "loop", 900, 8);
     relays.run_ms(1_000);
     let passed = relays.passed_tokens("loop");
-    assert!(passed <= 900 + MOST, "{passed}");
+    assert!(passed <= 900 + MAX_TURN_TOKENS, "{passed}");
 }
--- a/crates/core/tests/rate_outage.rs
+++ b/crates/core/tests/rate_outage.rs
@@ -1,12 +1,12 @@
-//! Guards against refusals while the store is down for long.
+//! Guards against wrongful refusals while the store is down for a long time.
 
 use knapweeddale_testing::scenario::{self, Scenario, Totals};
 use knapweeddale_testing::seeds;
 
 #[test]
-fn half_an_hour() {
+fn store_down_for_30_minutes() {
     let mut totals = Totals::default();
-    // One seed is 150,000 calls.
+    // Each seed sends 150,000 calls.
     for seed in seeds().take(20).step_by(3) {
         let mut scenario = Scenario::new(seed);
         scenario.loads = scenario::loads(50);
--- a/crates/core/tests/rate_shares.rs
+++ b/crates/core/tests/rate_shares.rs
@@ -19,8 +19,8 @@
     assert!(totals.worst_share >= 0.99);
 }
 
-/// A call waited two seconds in vain: each of several smaller grants took part of the call that
-/// its VM had gathered for it.
+/// Guards against a call that waits two seconds and is refused, because each of several shrinking
+/// grants takes back a part of the call that the VM has accumulated for it.
 #[rstest]
 fn shrinking_grants(#[values(580, 994)] seed: u64) {
     let mut scenario = Scenario::new(seed);
--- a/crates/core/tests/restored_view.rs
+++ b/crates/core/tests/restored_view.rs
@@ -1,4 +1,5 @@
-//! Guards against a store that returns an older view.
+//! Guards against VMs that go back to an older view when the store is restored to an earlier state
+//! or emptied.
 
 use knapweeddale_core::FleetConfig;
 use knapweeddale_testing::mesh::Mesh;
@@ -19,7 +20,7 @@
         run_sampled(&mut mesh, 5_000, seed);
         let epoch = mesh.tables(0).view.epoch;
         mesh.store.stored = if is_empty { None } else { old };
-        // A VM that starts right after meets the older view first.
+        // A VM that starts right afterwards reads the older view first.
         mesh.crash(3);
         mesh.restart(3);
         for _ in 0..100 {
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -1,5 +1,5 @@
-//! Guards against retries that repeat a call that must not be repeated, that
-//! are charged or counted twice, and that add load to a failing pool.
+//! Guards against retries of a call that must not be repeated, that are charged or counted twice,
+//! or that overload a failing pool.
 
 use knapweeddale_core::input::{AttemptProgress, Failure};
 use knapweeddale_core::{
@@ -12,15 +12,15 @@
 use rstest::rstest;
 
 /// Counts the runs of a call.
-fn runs(mesh: &Mesh, id: CallId) -> usize {
+fn count_runs(mesh: &Mesh, id: CallId) -> usize {
     let events = mesh.trace.events.iter();
     events
         .filter(|(_, event)| matches!(event, TraceEvent::Executed { call, .. } if call.id == id))
         .count()
 }
 
-/// Counts the retries that were decided.
-fn retries(mesh: &Mesh) -> usize {
+/// Counts the decisions to retry.
+fn count_retries(mesh: &Mesh) -> usize {
     let is_retry = |event: &TraceEvent| {
         matches!(
             event,
@@ -35,7 +35,7 @@
 }
 
 /// Reports a failure of the running attempt of a call.
-fn fail(mesh: &mut Mesh, id: CallId, failure: Failure) {
+fn report_failure(mesh: &mut Mesh, id: CallId, failure: Failure) {
     let calls = &mesh.control(0).expect("VM runs").tables().calls;
     let attempt = calls.get(&id).expect("call runs").attempt();
     let progress = AttemptProgress::Failed(failure);
@@ -44,12 +44,12 @@
 }
 
 #[test]
-fn goes_to_another_upstream_once_charged() {
+fn retries_on_another_upstream_once_charged() {
     let mut mesh = Mesh::new(1, engine_fleet(3, 4, 1), 1);
     mesh.run_ms(100);
     let id = mesh.call(0, engine_call(0, 1, 100, 100));
     mesh.run_ms(20);
-    fail(&mut mesh, id, Failure::UpstreamError { status: 500 });
+    report_failure(&mut mesh, id, Failure::UpstreamError { status: 500 });
     mesh.run_ms(5_000);
     let mut upstreams: Vec<UpstreamName> = Vec::new();
     let mut admitted = 0;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn failing_pool_is_not_flooded() {
+fn retries_are_limited_on_failing_pool() {
     let mut mesh = Mesh::new(1, engine_fleet(4, 100, 1), 1);
     mesh.engines.failing = (0..4)
         .map(|number| UpstreamName::from(format!("engine-{number}")))
@@ -80,8 +80,12 @@
     }
     mesh.run_ms(5_000);
     // 20% of 200 calls, or the 3 that are always allowed.
-    assert!(retries(&mesh) <= 40, "{} retries", retries(&mesh));
-    assert!(retries(&mesh) >= 3);
+    assert!(
+        count_retries(&mesh) <= 40,
+        "{} retries",
+        count_retries(&mesh)
+    );
+    assert!(count_retries(&mesh) >= 3);
 }
 
 #[rstest]
@@ -101,12 +105,12 @@
     };
     let read = mesh.call(0, read);
     mesh.run_ms(20);
-    fail(&mut mesh, read, failure);
-    assert_eq!(runs(&mesh, read), 2);
+    report_failure(&mut mesh, read, failure);
+    assert_eq!(count_runs(&mesh, read), 2);
 }
 
 #[test]
-fn never_after_a_part_reached_the_caller() {
+fn no_retry_after_response_began() {
     let mut mesh = Mesh::new(1, engine_fleet(3, 4, 1), 1);
     mesh.run_ms(100);
     let id = mesh.call(0, engine_call(0, 1, 100, 100));
@@ -115,14 +119,14 @@
         answer_tokens: 5,
         forwarded: true,
     };
-    fail(&mut mesh, id, failure);
+    report_failure(&mut mesh, id, failure);
     mesh.run_ms(3_000);
     let refusal = mesh.trace.refusal(id).expect("call ends");
     assert_eq!(
         (refusal.kind, refusal.ran),
         (RefusalKind::UpstreamFailed, Execution::MayHaveRun)
     );
-    assert_eq!(runs(&mesh, id), 1);
+    assert_eq!(count_runs(&mesh, id), 1);
     invariants::charges_reconcile(&mesh.trace).expect("the part is charged once");
 }
 
@@ -134,7 +138,7 @@
     let other = mesh.call(0, engine_call(0, 2, 100, 10_000));
     mesh.run_ms(20);
     let queued = mesh.call(0, engine_call(0, 3, 100, 10_000));
-    fail(&mut mesh, id, Failure::UpstreamError { status: 500 });
+    report_failure(&mut mesh, id, Failure::UpstreamError { status: 500 });
     mesh.run_ms(40_000);
     let refusal = mesh.trace.refusal(id);
     if let Some(refusal) = refusal {
--- a/crates/core/tests/shared_rates.rs
+++ b/crates/core/tests/shared_rates.rs
@@ -1,11 +1,12 @@
-//! Rates that VMs share without an owner.
+//! Guards against rates that are exceeded, or refused too early, when VMs share them without an
+//! owner.
 
 use knapweeddale_core::{AccountName, RefusalKind};
 use knapweeddale_testing::relays::{RelayCall, RelayFleet, account, fleet, upstreams};
 use knapweeddale_testing::seeds;
 use rstest::rstest;
 
-/// The window over which allotments are counted.
+/// Window over which admitted calls are counted.
 const WINDOW_MS: u64 = 5_000;
 
 /// Starts VMs with one account.
@@ -16,8 +17,8 @@
     relays
 }
 
-/// Sends calls at a rate through VMs chosen by the seed.
-fn offer(relays: &mut RelayFleet, calls_per_s: u64, ms: u64, alive: u64) {
+/// Sends calls at a rate through the first `alive` VMs, in an order drawn from the seed.
+fn send_calls(relays: &mut RelayFleet, calls_per_s: u64, ms: u64, alive: u64) {
     for _ in 0..calls_per_s * ms / 1_000 {
         let vm = relays.draw(alive) as usize;
         relays.call(vm, RelayCall::tool("bus"));
@@ -25,12 +26,12 @@
     }
 }
 
-/// Guards against VMs that together admit more than the rate and burst.
+/// Guards against VMs that together admit more than the rate and the burst.
 #[rstest]
 fn hot_account() {
     for seed in seeds() {
         let mut relays = start(50, 50, seed);
-        offer(&mut relays, 250, 12_000, 8);
+        send_calls(&mut relays, 250, 12_000, 8);
         relays.run_ms(1_000);
         let most = relays.most_in_window("bus", WINDOW_MS);
         // The platform tolerates a tenth more and 20 calls for what is decided at once.
@@ -44,7 +45,7 @@
 fn ordinary_account() {
     for seed in seeds() {
         let mut relays = start(50, 50, seed);
-        offer(&mut relays, 40, 10_000, 8);
+        send_calls(&mut relays, 40, 10_000, 8);
         relays.run_ms(1_000);
         assert!(relays.refusals.is_empty(), "seed {seed}");
     }
@@ -55,7 +56,7 @@
 fn killed_together() {
     for seed in seeds() {
         let mut relays = start(50, 50, seed);
-        offer(&mut relays, 250, 4_000, 8);
+        send_calls(&mut relays, 250, 4_000, 8);
         for vm in 0..8 {
             relays.kill(vm);
         }
@@ -64,41 +65,41 @@
             relays.restart(vm);
         }
         relays.run_ms(300);
-        offer(&mut relays, 250, 6_000, 8);
+        send_calls(&mut relays, 250, 6_000, 8);
         let most = relays.most_in_window("bus", WINDOW_MS);
         assert!(most <= (50 * 5 + 50) * 11 / 10 + 20, "seed {seed}: {most}");
     }
 }
 
-/// Guards against a VM that spends a whole rate while it is cut off from the others.
+/// Guards against a VM that spends a whole rate while it is isolated.
 #[rstest]
-fn cut_off() {
+fn isolated_vm() {
     for seed in seeds() {
         let mut relays = start(50, 50, seed);
-        offer(&mut relays, 250, 2_000, 8);
+        send_calls(&mut relays, 250, 2_000, 8);
         relays.cut_off(0, true);
-        offer(&mut relays, 250, 6_000, 8);
+        send_calls(&mut relays, 250, 6_000, 8);
         let most = relays.most_in_window("bus", WINDOW_MS);
         assert!(most <= (50 * 5 + 50) * 11 / 10 + 20, "seed {seed}: {most}");
     }
 }
 
-/// Guards against a limit far below the use that binds late.
+/// Guards against a limit that takes effect late after it was lowered far below the use.
 #[rstest]
 fn lowered_limit() {
     let mut relays = start(200, 200, 1);
-    offer(&mut relays, 100, 3_000, 8);
+    send_calls(&mut relays, 100, 3_000, 8);
     relays.store.publish(fleet(2, vec![account("bus", 10, 10)]));
-    offer(&mut relays, 100, 2_000, 8);
+    send_calls(&mut relays, 100, 2_000, 8);
     let before = relays.runs.len();
-    offer(&mut relays, 100, 5_000, 8);
+    send_calls(&mut relays, 100, 5_000, 8);
     let ran = relays.runs.len() - before;
     assert!(ran <= (10 * 5 + 10) * 11 / 10 + 20, "{ran}");
 }
 
-/// Guards against calls that begin programs and take the room of programs under way.
+/// Guards against new programs that use up the rate while known programs need it.
 #[rstest]
-fn begun_programs() {
+fn new_programs() {
     let mut relays = start(20, 20, 1);
     // A known program and new ones compete for a bucket that others have drained.
     relays.call(0, RelayCall::turn("bus", "tour", 9_000, 100));
@@ -113,11 +114,11 @@
     assert_eq!(relays.refusal(new), Some(RefusalKind::OverRate));
 }
 
-/// Guards against a restarted VM that takes all calls since the start of the others for new ones.
+/// Guards against a restarted VM that counts all calls since the start of the others as new.
 #[rstest]
 fn restarted_vm() {
     let mut relays = start(50, 50, 1);
-    offer(&mut relays, 40, 10_000, 8);
+    send_calls(&mut relays, 40, 10_000, 8);
     relays.kill(3);
     relays.restart(3);
     relays.run_ms(1_500);
@@ -128,7 +129,7 @@
     }
 }
 
-/// Guards against VMs that share a rate with one that has ended for good.
+/// Guards against VMs that share a rate with a VM that stays down.
 #[rstest]
 fn lost_vm() {
     let mut relays = start(50, 50, 1);
