--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! Decisions of the control thread: whole calls through `Control::tick`.
+//! Benchmarks the control thread: whole calls through `Control::tick`.
 //!
 //! One iteration takes a call of an existing program from its arrival to its
-//! charge record, with everything that other VMs would do in the same process.
+//! charge record. The only VM also does the work that other VMs do in a larger fleet.
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use knapweeddale_core::input::{AttemptOutcome, AttemptProgress, Continuation};
@@ -12,16 +12,16 @@
 };
 use knapweeddale_testing::fleet::{engine_call, engine_fleet, stored_view};
 
-/// Accounts of the fleet.
+/// Number of accounts of the fleet.
 const ACCOUNTS: usize = 550;
 
-/// Engines of the fleet.
+/// Number of engines of the fleet.
 const ENGINES: usize = 300;
 
-/// Time between two calls.
+/// Virtual time between two calls, which take four ticks each.
 const CALL_US: u64 = 10;
 
-/// A control value with programs that take turns.
+/// A control thread's state with the programs whose turns it runs.
 struct Bench {
     control: Control,
     now_us: u64,
@@ -31,7 +31,7 @@
 }
 
 impl Bench {
-    /// Makes a VM that is the only member, with programs that have had one turn.
+    /// Makes a VM that is the only member and runs the first turn of each program.
     fn new(programs: usize) -> Self {
         let settings = CoreSettings::builder()
             .vm(VmName::from("vm-0"))
@@ -92,7 +92,7 @@
     /// Runs the next call of a program from arrival to charge record.
     fn run_call(&mut self, program: usize) {
         let call = self.next_call(program);
-        self.keep_lease();
+        self.renew_lease();
         self.tick(Input::CallArrived(Box::new(call)));
         let attempt = self.outputs.iter().find_map(|output| match output {
             Output::Dispatch(dispatch) => Some(dispatch.attempt),
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Answers the touches of the view, as the store would.
-    fn keep_lease(&mut self) {
+    /// Confirms touches of the view in place of the store, so that the lease does not expire.
+    fn renew_lease(&mut self) {
         let event = StoreEvent::ViewTouched {
             version: 1,
             sent_us: self.now_us,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Runs one tick.
+    /// Advances the virtual time and runs one tick with an input.
     fn tick(&mut self, input: Input) {
         self.now_us += CALL_US / 4;
         self.control.tick(self.now_us, [input], &mut self.outputs);
@@ -141,7 +141,7 @@
 }
 
 /// Measures whole calls at different numbers of programs.
-fn whole_calls(criterion: &mut Criterion) {
+fn bench_whole_calls(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("whole_call");
     group.throughput(Throughput::Elements(1));
     for programs in [1_000, 10_000, 100_000] {
@@ -158,5 +158,5 @@
     group.finish();
 }
 
-criterion_group!(benches, whole_calls);
+criterion_group!(benches, bench_whole_calls);
 criterion_main!(benches);
--- a/crates/core/tests/silent_watch.rs
+++ b/crates/core/tests/silent_watch.rs
@@ -1,4 +1,5 @@
-//! Guards against a configuration that reaches VMs late, or that is taken back.
+//! Guards against a configuration that reaches VMs late because watches of the store are silent,
+//! and against a configuration that an older one replaces.
 
 use knapweeddale_core::{FleetConfig, Input, Revision};
 use knapweeddale_testing::mesh::Mesh;
@@ -11,13 +12,16 @@
     }
 }
 
-/// Runs until all VMs have a revision in force and returns the time that took.
+/// Runs until a revision is in force on all VMs and returns how long that took.
 fn spread_ms(mesh: &mut Mesh, revision: u64) -> u64 {
     let started_us = mesh.now_us();
     let in_force = |mesh: &Mesh, vm: usize| mesh.tables(vm).fleet.revision == Revision(revision);
     while !(0..mesh.len()).all(|vm| in_force(mesh, vm)) {
         mesh.run_ms(10);
-        assert!(mesh.now_us() < started_us + 60_000_000, "never in force");
+        assert!(
+            mesh.now_us() < started_us + 60_000_000,
+            "revision {revision} is not in force after 60 s"
+        );
     }
     (mesh.now_us() - started_us) / 1_000
 }
@@ -54,13 +58,13 @@
         mesh.run_ms(10_000);
         mesh.publish(seed as usize % 64, fleet(2));
         let took_ms = spread_ms(&mut mesh, 2);
-        // The target of the large scale, section 1.3.
+        // The target for large fleets, section 1.3.
         assert!(took_ms < 13_000, "seed {seed}: {took_ms} ms");
     }
 }
 
 #[test]
-fn lower_revision_never_replaces() {
+fn older_revision_is_ignored() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(8, 3, fleet(1), seed);
         mesh.faults.max_delay_us = 400_000;
--- a/crates/core/tests/small_bursts.rs
+++ b/crates/core/tests/small_bursts.rs
@@ -1,4 +1,5 @@
-//! Guards against accounts whose burst is too small to be divided.
+//! Guards against refusals within the rate when the burst of an account is too small to be divided
+//! among the VMs.
 
 use knapweeddale_core::AccountName;
 use knapweeddale_testing::load::{self, Load};
@@ -11,7 +12,7 @@
 #[case::one_call(2, 1)]
 #[case::fewer_than_vms(5, 4)]
 #[case::as_many_as_vms(10, 8)]
-fn served(#[case] rate: u64, #[case] burst: u64) {
+fn calls_are_admitted(#[case] rate: u64, #[case] burst: u64) {
     let fleet = load::fleet(&[("aller", rate, burst)]);
     let loads = [Load {
         account: AccountName::from("aller"),
--- a/crates/core/tests/stale_config.rs
+++ b/crates/core/tests/stale_config.rs
@@ -1,4 +1,5 @@
-//! Keys and routes are judged by a configuration of known age.
+//! Guards against calls that are admitted or denied by a configuration that is too old or not known
+//! yet.
 
 use knapweeddale_core::{FleetConfig, RefusalKind, Revision};
 use knapweeddale_testing::relays::{RelayCall, RelayFleet, account, fleet, upstreams};
@@ -13,30 +14,30 @@
 }
 
 /// Sends a tool call and returns why it was refused.
-fn refused(relays: &mut RelayFleet, vm: usize) -> Option<RefusalKind> {
+fn refusal_kind(relays: &mut RelayFleet, vm: usize) -> Option<RefusalKind> {
     let id = relays.call(vm, RelayCall::tool("bus"));
     relays.run_ms(50);
     relays.refusal(id)
 }
 
-/// Guards against a VM that trusts keys although it cannot learn of withdrawn ones.
+/// Guards against an isolated VM that accepts keys although it cannot learn of withdrawn ones.
 #[rstest]
-fn cut_off_vm() {
+fn isolated_vm() {
     let mut relays = start();
     relays.cut_off(1, true);
     relays.run_ms(3_000);
-    assert_eq!(refused(&mut relays, 1), None);
+    assert_eq!(refusal_kind(&mut relays, 1), None);
     relays.run_ms(2_500);
-    assert_eq!(refused(&mut relays, 1), Some(RefusalKind::Isolated));
+    assert_eq!(refusal_kind(&mut relays, 1), Some(RefusalKind::Isolated));
     assert!(!relays.is_ready(1));
     relays.cut_off(1, false);
     relays.run_ms(2_000);
-    assert_eq!(refused(&mut relays, 1), None);
+    assert_eq!(refusal_kind(&mut relays, 1), None);
 }
 
-/// Guards against VMs that stop although others read the store for them.
+/// Guards against VMs that refuse calls although another VM reads the store for them.
 #[rstest]
-fn turned_away() {
+fn store_reached_by_one_vm() {
     let mut relays = start();
     for vm in 0..3 {
         relays.store.set_reachable(vm, false);
@@ -44,7 +45,7 @@
     for _ in 0..20 {
         relays.run_ms(500);
         for vm in 0..4 {
-            assert_eq!(refused(&mut relays, vm), None);
+            assert_eq!(refusal_kind(&mut relays, vm), None);
         }
     }
 }
@@ -62,14 +63,14 @@
     }
 }
 
-/// Guards against a key that works after it was taken away.
+/// Guards against a key that works after it was withdrawn.
 #[rstest]
 fn withdrawn_key() {
     let mut relays = start();
     relays.store.publish(fleet(2, Vec::new()));
     relays.run_ms(1_000);
     for vm in 0..4 {
-        assert_eq!(refused(&mut relays, vm), Some(RefusalKind::KeyUnknown));
+        assert_eq!(refusal_kind(&mut relays, vm), Some(RefusalKind::KeyUnknown));
     }
 }
 
@@ -92,10 +93,13 @@
     (0..4).for_each(|vm| relays.kill(vm));
     (0..4).for_each(|vm| relays.restart(vm));
     relays.run_ms(1_000);
-    assert_eq!(refused(&mut relays, 0), Some(RefusalKind::NotConfigured));
+    assert_eq!(
+        refusal_kind(&mut relays, 0),
+        Some(RefusalKind::NotConfigured)
+    );
     relays.store.set_down(false);
     relays.run_ms(3_000);
-    assert_eq!(refused(&mut relays, 0), None);
+    assert_eq!(refusal_kind(&mut relays, 0), None);
 }
 
 /// Guards against a restarted VM that waits for the store while others know the configuration.
@@ -107,10 +111,10 @@
     relays.kill(3);
     relays.restart(3);
     relays.run_ms(1_500);
-    assert_eq!(refused(&mut relays, 3), None);
+    assert_eq!(refusal_kind(&mut relays, 3), None);
 }
 
-/// Guards against a configuration that goes back when a read shows an older state.
+/// Guards against a configuration that is replaced when the store returns an older one.
 #[rstest]
 fn older_state() {
     let mut relays = start();
--- a/crates/core/tests/stale_continuation.rs
+++ b/crates/core/tests/stale_continuation.rs
@@ -1,4 +1,4 @@
-//! Guards against lost, forked and mixed histories.
+//! Guards against histories of programs that lose turns, fork or mix with those of another program.
 
 use knapweeddale_core::input::Continuation;
 use knapweeddale_core::{CallId, HistoryDigest, ProgramRequestKind, RefusalKind};
@@ -7,8 +7,8 @@
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use rstest::rstest;
 
-/// Runs two turns of `tour` and returns the state after each.
-fn two_turns() -> (Mesh, usize, [Continuation; 2]) {
+/// Runs two turns of `tour` and returns the mesh, the home and the continuation after each turn.
+fn run_two_turns() -> (Mesh, usize, [Continuation; 2]) {
     let mut mesh = Mesh::new(5, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
     let home = mesh.home_of(0, &key_of("tour")).expect("a home");
@@ -25,7 +25,7 @@
     (mesh, home, [first, second])
 }
 
-fn kind_of(mesh: &Mesh, call: CallId) -> Option<RefusalKind> {
+fn refusal_kind(mesh: &Mesh, call: CallId) -> Option<RefusalKind> {
     mesh.trace.refusal(call).map(|refusal| refusal.kind)
 }
 
@@ -45,7 +45,7 @@
     #[case] kind: RefusalKind,
     #[values(false, true)] loses_home: bool,
 ) {
-    let (mut mesh, home, states) = two_turns();
+    let (mut mesh, home, states) = run_two_turns();
     if loses_home {
         mesh.crash(home);
         mesh.run_ms(10_000);
@@ -54,7 +54,7 @@
     let wrong = call(Kind::Chat, "tour", 3, 3, carried.as_ref(), None);
     let wrong = mesh.call((home + 2) % 5, wrong);
     mesh.run_ms(2_000);
-    assert_eq!(kind_of(&mesh, wrong), Some(kind));
+    assert_eq!(refusal_kind(&mesh, wrong), Some(kind));
     let right = call(Kind::Chat, "tour", 3, 3, Some(&states[1]), None);
     let right = mesh.call((home + 2) % 5, right);
     mesh.run_ms(2_000);
@@ -64,17 +64,20 @@
 }
 
 #[test]
-fn program_of_another_name_is_refused() {
-    let (mut mesh, home, states) = two_turns();
+fn continuation_of_another_program_is_refused() {
+    let (mut mesh, home, states) = run_two_turns();
     let mixed = call(Kind::Chat, "season", 3, 3, Some(&states[1]), None);
     let mixed = mesh.call(home, mixed);
     mesh.run_ms(1_000);
-    assert_eq!(kind_of(&mesh, mixed), Some(RefusalKind::HistoryMismatch));
+    assert_eq!(
+        refusal_kind(&mesh, mixed),
+        Some(RefusalKind::HistoryMismatch)
+    );
 }
 
 #[rstest]
 fn ended_program_stays_ended(#[values(false, true)] loses_home: bool) {
-    let (mut mesh, home, states) = two_turns();
+    let (mut mesh, home, states) = run_two_turns();
     let end = request(ProgramRequestKind::End, "tour", Some(&states[1]));
     mesh.program((home + 1) % 5, end);
     mesh.run_ms(500);
@@ -87,12 +90,12 @@
     let late = call(Kind::Chat, "tour", 3, 3, Some(&states[1]), None);
     let late = mesh.call((home + 2) % 5, late);
     mesh.run_ms(1_000);
-    assert_eq!(kind_of(&mesh, late), Some(RefusalKind::ProgramEnded));
+    assert_eq!(refusal_kind(&mesh, late), Some(RefusalKind::ProgramEnded));
 }
 
 #[test]
-fn reborn_program_takes_no_old_continuation() {
-    let (mut mesh, home, states) = two_turns();
+fn new_program_refuses_old_continuation() {
+    let (mut mesh, home, states) = run_two_turns();
     mesh.program(home, request(ProgramRequestKind::End, "tour", None));
     mesh.run_ms(500);
     let again = mesh.call(home, call(Kind::Chat, "tour", 1, 7, None, None));
@@ -101,5 +104,5 @@
     let old = call(Kind::Chat, "tour", 3, 3, Some(&states[1]), None);
     let old = mesh.call(home, old);
     mesh.run_ms(500);
-    assert_eq!(kind_of(&mesh, old), Some(RefusalKind::ProgramEnded));
+    assert_eq!(refusal_kind(&mesh, old), Some(RefusalKind::ProgramEnded));
 }
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -1,4 +1,5 @@
-//! Guards against an outage of the store that stops the fleet, or is followed by a rush of requests.
+//! Guards against an outage of the store that ends the leases of the fleet or that is followed by
+//! a burst of requests, and against views written while promises not to write one are valid.
 
 use knapweeddale_core::tables::StoreRequestKind;
 use knapweeddale_core::{Decision, FleetConfig, Revision};
@@ -13,7 +14,7 @@
 }
 
 #[test]
-fn leases_go_on_for_30_minutes() {
+fn leases_last_for_30_minutes() {
     for seed in seeds() {
         let mut mesh = settled_mesh(fleet(), seed);
         mesh.store.is_down = true;
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn nobody_is_removed_meanwhile() {
+fn no_vm_is_removed_during_outage() {
     for seed in seeds() {
         let mut mesh = settled_mesh(fleet(), seed);
         let writers = mesh.writers(0);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn removal_wanted_as_outage_begins() {
+fn removal_pending_as_outage_begins() {
     for seed in seeds() {
         for delay_ms in [1_700, 2_000, 2_200, 2_400] {
             let mut mesh = settled_mesh(fleet(), seed);
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn writers_die_meanwhile() {
+fn writers_crash_during_outage() {
     for seed in seeds() {
         let mut mesh = settled_mesh(fleet(), seed);
         let writers = mesh.writers(0);
@@ -103,7 +104,7 @@
         run_sampled(&mut mesh, 10_000, seed);
         writers.iter().for_each(|&vm| mesh.crash(vm));
         run_sampled(&mut mesh, 4_000, seed);
-        // The open case of section 5: without promises of all writers nobody may act.
+        // The open case of section 5: without promises of all writers no VM may have a lease.
         for _ in 0..600 {
             run_sampled(&mut mesh, 100, seed);
             assert!((0..8).all(|vm| !mesh.has_lease(vm)), "seed {seed}");
@@ -141,7 +142,10 @@
         assert_eq!(tables.view.epoch, mesh.tables(0).view.epoch, "seed {seed}");
         let control = mesh.control(4).expect("VM runs");
         assert!(control.is_ready(mesh.local_us(4)), "seed {seed}");
-        assert!(!mesh.has_lease(4), "seed {seed}: lease of the former start");
+        assert!(
+            !mesh.has_lease(4),
+            "seed {seed}: lease of the former incarnation"
+        );
         mesh.store.is_down = false;
         run_sampled(&mut mesh, 20_000, seed);
         assert!(mesh.has_lease(4), "seed {seed}: not a member again");
@@ -149,7 +153,7 @@
 }
 
 #[test]
-fn restarted_writer_promises_nothing() {
+fn restarted_writer_makes_no_promise() {
     for seed in seeds() {
         let mut mesh = settled_mesh(fleet(), seed);
         let writer = mesh.writers(0)[1];
@@ -197,7 +201,7 @@
 }
 
 #[test]
-fn promises_are_kept() {
+fn no_write_before_promise_expires() {
     for seed in seeds() {
         let mut mesh = settled_mesh(fleet(), seed);
         let writers = mesh.writers(0);
@@ -226,7 +230,7 @@
 }
 
 #[test]
-fn unanswered_write_rules_promises_out() {
+fn unanswered_write_prevents_promises() {
     for seed in seeds() {
         let mut mesh = settled_mesh(fleet(), seed);
         let writers = mesh.writers(0);
@@ -246,7 +250,7 @@
             }
         }
         let known = mesh.tables(writers[0]).view.epoch;
-        assert_eq!(known, epoch, "seed {seed}: answer came");
+        assert_eq!(known, epoch, "seed {seed}: the answer was not lost");
         mesh.store.is_down = true;
         mesh.store.lost_answers_per_mille = 0;
         run_sampled(&mut mesh, 4_000, seed);
--- a/crates/core/tests/turn_order.rs
+++ b/crates/core/tests/turn_order.rs
@@ -1,4 +1,4 @@
-//! Guards against turns that run out of order, twice, or never end.
+//! Guards against turns that run out of order, run twice or never end.
 
 use knapweeddale_core::message::HomesMessage;
 use knapweeddale_core::{Execution, PeerMessage, RefusalKind};
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn kept_response_expires() {
+fn stored_response_expires() {
     let (mut mesh, vm) = start();
     let new = call(Kind::Chat, "tour", 1, 1, None, None);
     mesh.call(vm, new.clone());
     mesh.run_ms(121_000);
     let late = mesh.call(vm, new);
     mesh.run_ms(1_000);
-    let refusal = mesh.trace.refusal(late).expect("the response is gone");
+    let refusal = mesh.trace.refusal(late).expect("the response has expired");
     assert_eq!(refusal.kind, RefusalKind::DuplicateTurn);
     assert_eq!(refusal.ran, Execution::Ran);
 }
@@ -99,7 +99,7 @@
 }
 
 #[rstest]
-fn lost_message_ends_no_turn_for_ever(
+fn turn_recovers_from_lost_messages(
     #[values(is_begin, is_began, is_settle, is_settled)] lost: fn(&PeerMessage) -> bool,
 ) {
     let (mut mesh, vm) = start();
@@ -118,7 +118,7 @@
 #[test]
 fn abandoned_call_frees_its_turn() {
     let (mut mesh, vm) = start();
-    // The home lets the turn begin, but its entry VM never hears of it.
+    // The home lets the turn begin, but the entry VM receives no `Began`.
     mesh.lose_next.push((is_began, 100));
     let first = mesh.call(vm, call(Kind::Chat, "tour", 1, 1, None, None));
     mesh.run_ms(300);
--- a/crates/core/tests/used_permit.rs
+++ b/crates/core/tests/used_permit.rs
@@ -1,4 +1,5 @@
-//! Guards against a second run of a request that may not be repeated.
+//! Guards against a second run of a request that must not be repeated, after a resend or the loss
+//! of a VM.
 
 use knapweeddale_core::input::{Continuation, Permit};
 use knapweeddale_core::{CallId, Execution, ProgramRequestKind, RefusalKind};
@@ -7,7 +8,7 @@
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use rstest::rstest;
 
-/// A mesh whose program `tour` has ended turn 1, with what its caller holds.
+/// A mesh whose program `tour` has ended turn 1, with the continuation and permit of its caller.
 struct Session {
     mesh: Mesh,
     home: usize,
@@ -15,6 +16,7 @@
     permit: Permit,
 }
 
+/// Starts five VMs and runs turn 1 of `tour`.
 fn start() -> Session {
     let mut mesh = Mesh::new(5, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
@@ -31,7 +33,7 @@
 }
 
 impl Session {
-    /// Sends the request of turn 2 through the VM at a distance from the home.
+    /// Sends the request of turn 2 through the VM `distance` places after the home.
     fn send(&mut self, distance: usize) -> CallId {
         let vm = (self.home + distance) % 5;
         let (state, permit) = (Some(&self.state), Some(&self.permit));
@@ -39,7 +41,8 @@
         self.mesh.call(vm, new)
     }
 
-    fn runs(&self) -> usize {
+    /// Counts the runs of requests with a permit.
+    fn count_runs(&self) -> usize {
         let is_run = |event: &TraceEvent| matches!(event, TraceEvent::Executed { call, .. } if call.permit.is_some());
         let events = self.mesh.trace.events.iter();
         events.filter(|(_, event)| is_run(event)).count()
@@ -61,12 +64,12 @@
     session.mesh.run_ms(1_000);
     session.send(3);
     session.mesh.run_ms(1_000);
-    assert_eq!(session.runs(), 1);
+    assert_eq!(session.count_runs(), 1);
     session.check();
 }
 
 #[test]
-fn lost_entry_vm_leaves_outcome_unknown() {
+fn entry_vm_crash_leaves_outcome_unknown() {
     let mut session = start();
     session.send(1);
     session.mesh.run_ms(30);
@@ -76,7 +79,7 @@
     session.mesh.run_ms(10_000);
     let refusal = session.mesh.trace.refusal(resend).expect("unknown");
     assert_eq!(refusal.ran, Execution::MayHaveRun);
-    assert_eq!(session.runs(), 1);
+    assert_eq!(session.count_runs(), 1);
     session.check();
 }
 
@@ -84,7 +87,7 @@
 #[case::before_dispatch(0)]
 #[case::around_dispatch(4)]
 #[case::after_dispatch(30)]
-fn permit_is_void_after_loss_of_its_home(#[case] after_ms: u64) {
+fn permit_is_void_after_home_crash(#[case] after_ms: u64) {
     let mut session = start();
     session.send(1);
     session.mesh.run_ms(after_ms);
@@ -100,12 +103,12 @@
         );
     let is_unknown = refusal.is_some_and(|refusal| refusal.ran != Execution::NotRun);
     assert!(is_replayed || is_unknown, "{refusal:?}");
-    assert!(session.runs() <= 1);
+    assert!(session.count_runs() <= 1);
     session.check();
 }
 
 #[test]
-fn paused_entry_vm_starts_nothing_late() {
+fn paused_entry_vm_dispatches_nothing_late() {
     let mut session = start();
     let entry = (session.home + 1) % 5;
     session.send(1);
@@ -115,14 +118,14 @@
     session.mesh.run_ms(7_000);
     let resend = session.send(2);
     session.mesh.run_ms(20_000);
-    assert!(session.runs() <= 1);
+    assert!(session.count_runs() <= 1);
     let refusal = session.mesh.trace.refusal(resend);
     assert!(refusal.is_none_or(|refusal| refusal.ran == Execution::MayHaveRun));
     session.check();
 }
 
 #[test]
-fn new_permit_lets_an_unsent_request_run() {
+fn unsent_request_runs_with_new_permit() {
     let mut session = start();
     let home = session.home;
     session.mesh.crash(home);
@@ -143,6 +146,6 @@
     session.permit = issued.expect("a new permit");
     session.send(3);
     session.mesh.run_ms(1_000);
-    assert_eq!(session.runs(), 1);
+    assert_eq!(session.count_runs(), 1);
     session.check();
 }
--- a/crates/core/tests/view_change.rs
+++ b/crates/core/tests/view_change.rs
@@ -1,4 +1,4 @@
-//! Guards against views that miss joined VMs, keep dead ones or name one owner too many.
+//! Guards against views that lack joined VMs, keep dead ones or give an account two owners.
 
 use knapweeddale_core::FleetConfig;
 use knapweeddale_testing::mesh::Mesh;
@@ -8,6 +8,7 @@
     Mesh::with_domains(vms, 3, FleetConfig::default(), seed)
 }
 
+/// Returns all VMs except some.
 fn all_but(vms: usize, out: &[usize]) -> Vec<usize> {
     (0..vms).filter(|vm| !out.contains(vm)).collect()
 }
@@ -70,7 +71,7 @@
         for &vm in &writers {
             mesh.crash(vm);
         }
-        // The platform's list lags by 10 s; leases end before that.
+        // The platform's list of VMs lags by 10 s; leases end before that.
         run_sampled(&mut mesh, 8_000, seed);
         for vm in all_but(8, &writers) {
             assert!(!mesh.has_lease(vm), "seed {seed}: lease without a writer");
@@ -164,17 +165,19 @@
         let mut mesh = mesh(40, seed);
         run_sampled(&mut mesh, 10_000, seed);
         let writers = mesh.tables(0).view.writers.clone();
-        let is_heard = |vm: &usize| {
+        let is_watched_by_writer = |vm: &usize| {
             let peers = &mesh.tables(*vm).membership.peers;
-            let mut heard_by = peers.parents.iter().chain(&peers.watchers);
-            heard_by.any(|by| writers.contains(by))
+            let mut watchers = peers.parents.iter().chain(&peers.watchers);
+            watchers.any(|by| writers.contains(by))
         };
-        let vm = (0..39).find(|vm| !is_heard(vm)).expect("a member");
+        let vm = (0..39)
+            .find(|vm| !is_watched_by_writer(vm))
+            .expect("a member");
         let epoch = mesh.tables(39).view.epoch.0;
         mesh.crash(vm);
         run_sampled(&mut mesh, 9_000, seed);
         mesh.restart(vm);
-        // The list without the VM comes while it is a member again.
+        // The list without the VM arrives while it is a member again.
         run_sampled(&mut mesh, 15_000, seed);
         assert_members(&mesh, &all_but(40, &[]), seed);
         let views = mesh.tables(39).view.epoch.0 - epoch;
--- a/crates/core/tests/vm_crash.rs
+++ b/crates/core/tests/vm_crash.rs
@@ -1,5 +1,5 @@
-//! Guards against limits that are exceeded, and calls that are refused for
-//! longer than needed, after the VM that owns or holds shares has died.
+//! Guards against limits that are exceeded, and calls that are refused for longer than needed,
+//! after a VM that owns or holds shares has crashed.
 
 use knapweeddale_testing::scenario::{Scenario, Totals, VMS};
 use knapweeddale_testing::seeds;
@@ -7,8 +7,8 @@
 #[test]
 fn any_vm_dies() {
     let mut totals = Totals::default();
-    // Each VM dies as often as any other, since some hold most of an account and
-    // chance decides how full its buckets are at that moment.
+    // Each VM dies equally often, since some hold most of an account's rate and the fill of their
+    // buckets at that moment is random.
     let last = (*seeds().end())
         .max(3 * VMS as u64)
         .next_multiple_of(VMS as u64);
@@ -31,7 +31,7 @@
         for account in ["aller", "bodega", "aller"] {
             let owner = scenario.owner(account);
             scenario.mesh.crash(owner);
-            // The next owner dies while it still waits for shares it does not know.
+            // The next owner dies while it still waits for unknown shares to end.
             scenario.drive_ms(4_000);
         }
         scenario.drive_ms(10_000);
--- a/crates/core/tests/whole_call.rs
+++ b/crates/core/tests/whole_call.rs
@@ -1,4 +1,5 @@
-//! Guards against a break in the path of a call from arrival to charge record.
+//! Guards against a call that is not answered, charged or refused correctly anywhere on its path
+//! from arrival to charge record.
 
 use knapweeddale_core::{
     AccountConfig, AccountName, CallId, EngineConfig, FleetConfig, Incarnation, KeyConfig, KeyId,
