--- a/crates/entry/src/call/attempt.rs
+++ b/crates/entry/src/call/attempt.rs
@@ -11,9 +11,10 @@
 
 use super::reply::{Reply, ReplyPart};
 use super::task::CallKind;
-use crate::front::Shared;
+use crate::front::SharedState;
 use crate::upstream::{
-    Completion, EventError, EventReader, Step, UpstreamRequest, UpstreamTimes, returnable,
+    Completion, EventError, EventKind, EventReader, UpstreamRequest, UpstreamTimeouts,
+    filter_response_headers,
 };
 use knapweeddale_runtime::Clock;
 
@@ -49,7 +50,7 @@
 
 /// An attempt and the parts of its call that it uses.
 pub(super) struct Attempt<'a, C> {
-    pub shared: &'a Shared<C>,
+    pub shared: &'a SharedState<C>,
     pub dispatch: &'a Dispatch,
     pub request: &'a UpstreamRequest,
     pub kind: &'a CallKind,
@@ -61,7 +62,7 @@
 
 /// Reports the progress of an attempt to the core.
 pub(super) async fn report_progress<C: Clock>(
-    shared: &Shared<C>,
+    shared: &SharedState<C>,
     attempt: AttemptId,
     progress: AttemptProgress,
 ) {
@@ -78,12 +79,12 @@
         if self.shared.clock.now_us() >= self.dispatch.valid_until_us {
             return Err(Failure::NotSent);
         }
-        self.shared.last_alive.note(&self.dispatch.upstream);
+        self.shared.last_requests.record(&self.dispatch.upstream);
         let started = Instant::now();
         let response = self
             .shared
             .upstream
-            .open(self.dispatch, self.request)
+            .send_request(self.dispatch, self.request)
             .await?;
         match self.kind {
             CallKind::Engine { .. } => self.run_engine(response, started).await,
@@ -96,7 +97,7 @@
         let attempt = self.dispatch.attempt;
         report_progress(self.shared, attempt, AttemptProgress::FirstToken).await;
         let took = started.elapsed();
-        self.shared.metrics.note_first_token(self.service, took);
+        self.shared.metrics.observe_first_token(self.service, took);
     }
 
     /// Returns the failure for a connection that broke, or timed out if `is_silent`.
@@ -133,24 +134,24 @@
                 Failure::UpstreamError { status }
             });
         }
-        let times = UpstreamTimes::from(self.dispatch);
+        let times = UpstreamTimeouts::from(self.dispatch);
         let mut completion = Completion::default();
         let mut events = EventReader::new(response);
         loop {
             let limit = if completion.tokens() == 0 {
-                times.first.saturating_sub(started.elapsed())
+                times.first_token.saturating_sub(started.elapsed())
             } else {
-                times.gap
+                times.token_gap
             };
             let event = events
                 .next(limit)
                 .await
                 .map_err(|error| self.connection_failure(error == EventError::Silent))?;
-            let step = completion.add(&event);
-            if step == Step::Done {
+            let kind = completion.add_event(&event);
+            if kind == EventKind::Done {
                 return Ok(self.finish_engine(&completion));
             }
-            if step == Step::Token && completion.tokens() == 1 {
+            if kind == EventKind::Token && completion.tokens() == 1 {
                 self.record_first_token(started).await;
             }
             self.progress.answer_tokens = completion.tokens();
@@ -196,7 +197,7 @@
                 reply: None,
             };
         };
-        let outcome = completion.outcome(*history, *prompt_tokens);
+        let outcome = completion.build_outcome(*history, *prompt_tokens);
         let reply = (!self.progress.forwarded).then(|| Reply::json(200, &completion.to_json()));
         CompletedAttempt { outcome, reply }
     }
@@ -220,8 +221,8 @@
         if status >= 500 {
             return Err(Failure::UpstreamError { status });
         }
-        let headers = returnable(headers);
-        let gap = UpstreamTimes::from(self.dispatch).gap;
+        let headers = filter_response_headers(headers);
+        let gap = UpstreamTimeouts::from(self.dispatch).token_gap;
         let mut body = Vec::new();
         loop {
             match timeout(gap, response.chunk()).await {
--- a/crates/entry/src/call/task.rs
+++ b/crates/entry/src/call/task.rs
@@ -19,7 +19,7 @@
     EVENT_STREAM, Reply, ReplyPart, SignedTokens, build_error_body, encode_last_event,
 };
 use crate::control::CallOutput;
-use crate::front::Shared;
+use crate::front::SharedState;
 use crate::upstream::UpstreamRequest;
 use knapweeddale_runtime::Clock;
 
@@ -65,7 +65,7 @@
 
 /// The task of a call: carries out what the core decides for it.
 pub(crate) struct CallTask<C> {
-    shared: Arc<Shared<C>>,
+    shared: Arc<SharedState<C>>,
     context: CallContext,
     outputs: mpsc::Receiver<CallOutput>,
     reply_sender: mpsc::Sender<ReplyPart>,
@@ -91,7 +91,7 @@
 impl<C: Clock> CallTask<C> {
     /// Creates the task of a call and registers the call as in flight.
     pub fn new(
-        shared: Arc<Shared<C>>,
+        shared: Arc<SharedState<C>>,
         context: CallContext,
         outputs: mpsc::Receiver<CallOutput>,
         reply_sender: mpsc::Sender<ReplyPart>,
@@ -232,7 +232,9 @@
             return self.abort().await;
         };
         let took = self.started.elapsed();
-        self.shared.metrics.note_call(&self.context.service, took);
+        self.shared
+            .metrics
+            .observe_call(&self.context.service, took);
         let tokens = self.sign_tokens(answered.continuation.as_ref(), answered.permit.as_ref());
         let call = self.context.call;
         if let Some(reply) = finished.reply {
@@ -264,8 +266,8 @@
     fn cache_reply(&self, reply: &Reply) {
         if self.context.is_cacheable {
             let now_us = self.shared.clock.now_us();
-            let answers = &self.shared.answers;
-            answers.insert(
+            let cache = &self.shared.response_cache;
+            cache.insert(
                 now_us,
                 self.context.call,
                 self.context.digest,
@@ -291,7 +293,7 @@
     async fn replay_response(self, peer: Option<String>, original: CallId, tokens: SignedTokens) {
         let digest = self.context.digest;
         let reply = match peer {
-            None => self.shared.answers.get(original, digest),
+            None => self.shared.response_cache.get(original, digest),
             Some(address) => {
                 let options = &self.shared.peer_options;
                 let fetched = Peers::fetch_answer(options, &address, original, digest).await;
--- a/crates/entry/src/control/output_dispatcher.rs
+++ b/crates/entry/src/control/output_dispatcher.rs
@@ -19,7 +19,7 @@
 use super::status::Status;
 use crate::metrics::Metrics;
 use crate::store::ViewRequest;
-use crate::upstream::ReleaseOrder;
+use crate::upstream::ReleaseRequest;
 
 /// Addresses of VMs that are in no view; more than join or leave at once.
 const MAX_NON_MEMBER_ADDRESSES: usize = 64;
@@ -30,7 +30,7 @@
     pub vm: VmName,
     pub peers: Peers,
     pub view_requests: mpsc::Sender<ViewRequest>,
-    pub release_requests: mpsc::Sender<ReleaseOrder>,
+    pub release_requests: mpsc::Sender<ReleaseRequest>,
     pub probe_requests: mpsc::Sender<ProbeRequest>,
     pub model_orders: mpsc::Sender<Order>,
     pub charges: mpsc::Sender<Charge>,
@@ -134,7 +134,7 @@
                     return;
                 };
                 // The core repeats a release that is not confirmed.
-                let _ = self.release_requests.try_send(ReleaseOrder {
+                let _ = self.release_requests.try_send(ReleaseRequest {
                     upstream,
                     address,
                     program,
--- a/crates/entry/src/daemon/background.rs
+++ b/crates/entry/src/daemon/background.rs
@@ -11,10 +11,10 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::front::Shared;
-use crate::known_peers::ask_known_peers;
+use crate::front::SharedState;
+use crate::known_peers::query_known_peers;
 use crate::store::{ViewRequest, poll_vms, serve_views, watch_config};
-use crate::upstream::{ReleaseOrder, poll_loads, serve_orders, serve_probes, serve_releases};
+use crate::upstream::{ReleaseRequest, poll_loads, serve_orders, serve_probes, serve_releases};
 
 /// Time between two updates of the counts of store calls.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(1);
@@ -22,7 +22,7 @@
 /// The queues of orders from the control thread.
 pub(super) struct OutputQueues {
     pub view_requests: mpsc::Receiver<ViewRequest>,
-    pub release_requests: mpsc::Receiver<ReleaseOrder>,
+    pub release_requests: mpsc::Receiver<ReleaseRequest>,
     pub probe_requests: mpsc::Receiver<ProbeRequest>,
     pub model_orders: mpsc::Receiver<Order>,
 }
@@ -30,7 +30,7 @@
 /// Starts the tasks that end with the process.
 pub(super) fn start<A: ObjectApi, C: Clock>(
     api: &Arc<Counted<A>>,
-    shared: &Arc<Shared<C>>,
+    shared: &Arc<SharedState<C>>,
     settings: &Settings,
     queues: OutputQueues,
 ) -> JoinSet<()> {
@@ -51,20 +51,20 @@
         queues.model_orders,
         inputs(),
     ));
-    let last_alive = shared.last_alive.clone();
+    let last_requests = shared.last_requests.clone();
     tasks.spawn(serve_probes(
         client(),
         queues.probe_requests,
-        last_alive,
+        last_requests,
         inputs(),
     ));
     let peers = settings.known_peers.clone();
     let options = shared.peer_options.clone();
-    tasks.spawn(ask_known_peers(options, peers, status()));
+    tasks.spawn(query_known_peers(options, peers, status()));
     let (api, metrics) = (Arc::clone(api), Arc::clone(&shared.metrics));
     tasks.spawn(async move {
         loop {
-            metrics.set_store(&api.counts());
+            metrics.set_store_counts(&api.counts());
             sleep(COUNTS_INTERVAL).await;
         }
     });
--- a/crates/entry/src/daemon/channels.rs
+++ b/crates/entry/src/daemon/channels.rs
@@ -10,7 +10,7 @@
 
 use super::background::OutputQueues;
 use crate::control::{OutputDispatcher, Status};
-use crate::front::Shared;
+use crate::front::SharedState;
 use knapweeddale_runtime::Clock;
 
 /// Orders about the view that may wait; the core has few of them at a time.
@@ -41,7 +41,7 @@
 
 impl OutputChannels {
     /// Makes all queues.
-    pub fn new<C: Clock>(shared: &Shared<C>, status: watch::Sender<Status>) -> Self {
+    pub fn new<C: Clock>(shared: &SharedState<C>, status: watch::Sender<Status>) -> Self {
         let (view_requests, view_queue) = mpsc::channel(VIEW_QUEUE_LEN);
         let (release_requests, release_queue) = mpsc::channel(RELEASE_QUEUE_LEN);
         let (probe_requests, probe_queue) = mpsc::channel(PROBE_QUEUE_LEN);
--- a/crates/entry/src/daemon/mod.rs
+++ b/crates/entry/src/daemon/mod.rs
@@ -27,11 +27,11 @@
 
 use crate::call::{InFlight, ResponseCache};
 use crate::control::{InputSender, Status, StatusReader};
-use crate::front::Shared;
+use crate::front::SharedState;
 use crate::inbox::Inbox;
 use crate::metrics::Metrics;
 use crate::store::{ChargeWriter, ViewRequest};
-use crate::upstream::{LastAlive, UpstreamClient};
+use crate::upstream::{LastRequestTimes, UpstreamClient};
 use channels::OutputChannels;
 use knapweeddale_runtime::{CallIds, Clock, input_queue, new_incarnation, spawn_control_loop};
 use server::Server;
@@ -39,7 +39,7 @@
 /// A running daemon.
 #[derive(Debug)]
 pub struct Daemon<C> {
-    shared: Arc<Shared<C>>,
+    shared: Arc<SharedState<C>>,
     peers: PeerServer,
     control: JoinHandle<()>,
     server: Server,
@@ -133,21 +133,21 @@
     secret: &[u8],
     (inputs, status): (InputSender, StatusReader),
     clock: C,
-) -> Result<Arc<Shared<C>>, StartError> {
+) -> Result<Arc<SharedState<C>>, StartError> {
     let peer_options = PeerOptions::builder()
         .vm(core.vm.clone())
         .address(core.address.as_str())
         .incarnation(core.incarnation)
         .secret(derive_secret(secret, "peer")?)
         .build();
-    Ok(Arc::new(Shared {
+    Ok(Arc::new(SharedState {
         vm: core.vm.clone(),
         inputs,
         clock,
         upstream: UpstreamClient::new()?,
-        last_alive: LastAlive::default(),
+        last_requests: LastRequestTimes::default(),
         signer: Signer::new(derive_secret(secret, "sign")?.as_bytes())?,
-        answers: ResponseCache::new(settings.answer_keep_ms),
+        response_cache: ResponseCache::new(settings.answer_keep_ms),
         metrics: Arc::new(Metrics::new()?),
         in_flight: InFlight::default(),
         ids: CallIds::new(core.incarnation),
--- a/crates/entry/src/daemon/server.rs
+++ b/crates/entry/src/daemon/server.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use super::StartError;
-use crate::front::{self, Shared};
+use crate::front::{self, SharedState};
 use knapweeddale_runtime::Clock;
 
 /// Longest wait for the server to close its connections.
@@ -40,7 +40,7 @@
 /// Starts the HTTP server and waits until it listens.
 pub(super) async fn start<C: Clock>(
     listen: SocketAddr,
-    shared: &Arc<Shared<C>>,
+    shared: &Arc<SharedState<C>>,
 ) -> Result<Server, StartError> {
     let (sender, receiver) = oneshot::channel();
     let liftoff = AdHoc::on_liftoff("address", move |rocket| {
--- a/crates/entry/src/front/canonical.rs
+++ b/crates/entry/src/front/canonical.rs
@@ -6,12 +6,12 @@
 /// are null or empty, since callers add and leave out such fields at will.
 pub(crate) fn canonical_message(message: &Value) -> Vec<u8> {
     let mut text = Vec::new();
-    write(message, true, &mut text);
+    write_canonical(message, true, &mut text);
     text
 }
 
 /// Appends a value; empty fields are left out of the outermost object only.
-fn write(value: &Value, is_outermost: bool, text: &mut Vec<u8>) {
+fn write_canonical(value: &Value, is_outermost: bool, text: &mut Vec<u8>) {
     match value {
         Value::Object(fields) => {
             let mut fields: Vec<_> = fields
@@ -23,7 +23,7 @@
             for (name, field) in fields {
                 text.extend(Value::from(name.as_str()).to_string().as_bytes());
                 text.push(b':');
-                write(field, false, text);
+                write_canonical(field, false, text);
                 text.push(b',');
             }
             text.push(b'}');
@@ -31,7 +31,7 @@
         Value::Array(items) => {
             text.push(b'[');
             for item in items {
-                write(item, false, text);
+                write_canonical(item, false, text);
                 text.push(b',');
             }
             text.push(b']');
--- a/crates/entry/src/front/completions.rs
+++ b/crates/entry/src/front/completions.rs
@@ -12,9 +12,9 @@
 
 use super::canonical::canonical_message;
 use super::refuse::FrontError;
-use super::respond::Answer;
+use super::respond::CallerResponse;
 use super::services::read_body;
-use super::shared::Shared;
+use super::shared::SharedState;
 use crate::call::{CallContext, CallKind};
 use crate::upstream::UpstreamRequest;
 use knapweeddale_runtime::Clock;
@@ -47,18 +47,18 @@
     history: Vec<HistoryChain>,
 }
 
-impl<C: Clock> Shared<C> {
+impl<C: Clock> SharedState<C> {
     /// Runs a completion.
-    pub async fn complete(
+    pub async fn run_completion(
         self: &Arc<Self>,
         id: CallId,
         request: &Request<'_>,
         data: Data<'_>,
-    ) -> Result<Answer, FrontError> {
+    ) -> Result<CallerResponse, FrontError> {
         let headers = self.read_headers(request)?;
         let raw = read_body(data, self.max_body_bytes).await?;
-        headers.check_key_hidden("body", &raw)?;
-        let body = Body::read(&raw)?;
+        headers.reject_exposed_key("body", &raw)?;
+        let body = Body::parse(&raw)?;
         let service = self.model_label(&body.model);
         self.metrics.count_request(&service);
         if let Some(program) = &headers.program {
@@ -68,7 +68,7 @@
         let digest = content_digest([PATH.as_bytes(), &raw]);
         let new = NewCall::builder()
             .id(id)
-            .maybe_key(headers.presented())
+            .maybe_key(headers.presented_key())
             .target(Target::Model(body.model.clone()))
             .maybe_program(headers.program.clone())
             .maybe_permit(headers.permit.clone())
@@ -78,7 +78,7 @@
             .build();
         let context = CallContext {
             call: id,
-            kind: body.kind(),
+            kind: body.call_kind(),
             digest,
             service,
             is_cacheable: headers.program.is_some(),
@@ -87,10 +87,10 @@
                 method: Method::POST,
                 path: PATH.to_owned(),
                 headers: engine_headers(&headers.forwarded),
-                body: body.for_engine().into(),
+                body: body.encode_for_engine().into(),
             },
         };
-        self.open(new, context).await
+        self.start_call(new, context).await
     }
 
     /// Refuses new programs while the VM is stopping.
@@ -105,7 +105,7 @@
 
 impl Body {
     /// Reads and checks a body.
-    fn read(raw: &[u8]) -> Result<Self, FrontError> {
+    fn parse(raw: &[u8]) -> Result<Self, FrontError> {
         let fields: Map<String, Value> =
             serde_json::from_slice(raw).map_err(|e| malformed("", &format!("not JSON ({e})")))?;
         let model = match fields.get("model").and_then(Value::as_str) {
@@ -157,7 +157,7 @@
     }
 
     /// Returns the kind of the call.
-    fn kind(&self) -> CallKind {
+    fn call_kind(&self) -> CallKind {
         CallKind::Engine {
             stream: self.stream,
             history: self.history.last().copied().unwrap_or_default(),
@@ -167,7 +167,7 @@
 
     /// Returns the body for engines. They always stream, because only a stream
     /// shows in time that a connection has gone silent.
-    fn for_engine(&self) -> Vec<u8> {
+    fn encode_for_engine(&self) -> Vec<u8> {
         let mut fields = self.fields.clone();
         fields.insert("stream".to_owned(), json!(true));
         fields.insert("stream_options".to_owned(), json!({"include_usage": true}));
--- a/crates/entry/src/front/headers.rs
+++ b/crates/entry/src/front/headers.rs
@@ -7,8 +7,8 @@
 use rocket::request::Request;
 
 use super::refuse::FrontError;
-use super::shared::Shared;
-use crate::upstream::forwardable;
+use super::shared::SharedState;
+use crate::upstream::filter_request_headers;
 use knapweeddale_runtime::Clock;
 use knapweeddale_runtime::random_u64;
 
@@ -33,12 +33,12 @@
 
 impl CallerHeaders {
     /// Returns the key as the core knows it.
-    pub fn presented(&self) -> Option<PresentedKey> {
+    pub fn presented_key(&self) -> Option<PresentedKey> {
         self.key.as_ref().map(CallerKey::presented)
     }
 
     /// Refuses a text that holds the caller's key, since upstreams would see it.
-    pub fn check_key_hidden(&self, part: &str, text: &[u8]) -> Result<(), FrontError> {
+    pub fn reject_exposed_key(&self, part: &str, text: &[u8]) -> Result<(), FrontError> {
         let Some(key) = &self.key else {
             return Ok(());
         };
@@ -51,10 +51,10 @@
     }
 }
 
-impl<C: Clock> Shared<C> {
+impl<C: Clock> SharedState<C> {
     /// Reads the headers of a caller.
     pub fn read_headers(&self, request: &Request<'_>) -> Result<CallerHeaders, FrontError> {
-        check_size(request)?;
+        check_header_size(request)?;
         let key = read_key(request)?;
         let program = self.read_program(request, key.as_ref())?;
         let permit = match request.headers().get_one("kwd-permit") {
@@ -62,7 +62,7 @@
             Some(text) => Some(self.read_permit(text, program.as_ref())?),
         };
         Ok(CallerHeaders {
-            forwarded: forwarded(request, key.as_ref()),
+            forwarded: build_forwarded_headers(request, key.as_ref()),
             key,
             program,
             permit,
@@ -132,7 +132,7 @@
 }
 
 /// Refuses headers that are too large together.
-pub(crate) fn check_size(request: &Request<'_>) -> Result<(), FrontError> {
+pub(crate) fn check_header_size(request: &Request<'_>) -> Result<(), FrontError> {
     let headers = request.headers().iter();
     let bytes: usize = headers
         .map(|h| h.name().as_str().len() + h.value().len())
@@ -193,7 +193,7 @@
 }
 
 /// Returns the headers that upstreams may see, with a trace context.
-fn forwarded(request: &Request<'_>, key: Option<&CallerKey>) -> HeaderMap {
+fn build_forwarded_headers(request: &Request<'_>, key: Option<&CallerKey>) -> HeaderMap {
     let headers: Vec<(String, String)> = request
         .headers()
         .iter()
@@ -202,7 +202,7 @@
     let texts = headers
         .iter()
         .map(|(name, value)| (name.as_str(), value.as_str()));
-    let mut forwarded = forwardable(texts, key.map(CallerKey::expose));
+    let mut forwarded = filter_request_headers(texts, key.map(CallerKey::expose));
     if !forwarded.contains_key("traceparent") {
         let (trace, span) = ((random_u64(), random_u64()), random_u64() | 1);
         let context = format!("00-{:016x}{:016x}-{span:016x}-01", trace.0 | 1, trace.1);
--- a/crates/entry/src/front/health.rs
+++ b/crates/entry/src/front/health.rs
@@ -3,18 +3,18 @@
 use bytes::Bytes;
 use serde_json::json;
 
-use super::shared::Shared;
+use super::shared::SharedState;
 use crate::call::Reply;
 use knapweeddale_runtime::Clock;
 
-impl<C: Clock> Shared<C> {
+impl<C: Clock> SharedState<C> {
     /// Says that the process answers requests.
-    pub fn health(&self) -> Reply {
+    pub fn health_response(&self) -> Reply {
         Reply::json(200, &json!({"healthy": true}))
     }
 
     /// Says whether the load balancer should send calls.
-    pub fn readiness(&self) -> Reply {
+    pub fn readiness_response(&self) -> Reply {
         let reasons = self.unready_reasons();
         let status = if reasons.is_empty() { 200 } else { 503 };
         let body = json!({"ready": reasons.is_empty(), "reasons": reasons});
@@ -22,7 +22,7 @@
     }
 
     /// Returns what the operator command shows of a VM.
-    pub fn state(&self) -> Reply {
+    pub fn state_response(&self) -> Reply {
         let status = self.status.borrow().clone();
         let members = status.view.members.iter();
         let body = json!({
@@ -36,8 +36,8 @@
     }
 
     /// Returns all metrics.
-    pub fn metrics_text(&self) -> Reply {
-        self.metrics.set_peer(&self.peer_counts.snapshot());
+    pub fn metrics_response(&self) -> Reply {
+        self.metrics.set_peer_counts(&self.peer_counts.snapshot());
         match self.metrics.to_text() {
             Ok(text) => Reply {
                 status: 200,
--- a/crates/entry/src/front/models.rs
+++ b/crates/entry/src/front/models.rs
@@ -3,13 +3,13 @@
 use knapweeddale_core::ServiceKind;
 use serde_json::json;
 
-use super::shared::Shared;
+use super::shared::SharedState;
 use crate::call::Reply;
 use knapweeddale_runtime::Clock;
 
-impl<C: Clock> Shared<C> {
+impl<C: Clock> SharedState<C> {
     /// Lists the models of the configuration in force.
-    pub fn models(&self) -> Reply {
+    pub fn list_models(&self) -> Reply {
         let status = self.status.borrow();
         let models = status.fleet.services.iter().flat_map(|service| {
             let models = match &service.kind {
--- a/crates/entry/src/front/programs.rs
+++ b/crates/entry/src/front/programs.rs
@@ -8,11 +8,11 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use super::headers::{check_size, read_key, read_program_name};
+use super::headers::{check_header_size, read_key, read_program_name};
 use super::refuse::FrontError;
-use super::respond::Answer;
+use super::respond::CallerResponse;
 use super::services::read_body;
-use super::shared::Shared;
+use super::shared::SharedState;
 use crate::call::Reply;
 use crate::control::{CallOutput, Message};
 use knapweeddale_runtime::Clock;
@@ -30,20 +30,20 @@
     turn: u32,
 }
 
-impl<C: Clock> Shared<C> {
+impl<C: Clock> SharedState<C> {
     /// Issues a permit for a turn that may not be repeated.
     pub async fn issue_permit(
         &self,
         id: CallId,
         request: &Request<'_>,
         data: Data<'_>,
-    ) -> Result<Answer, FrontError> {
+    ) -> Result<CallerResponse, FrontError> {
         let raw = read_body(data, MAX_BODY_BYTES).await?;
         let body: PermitBody = serde_json::from_slice(&raw).map_err(|error| {
             FrontError::malformed(format!("the body is not {{\"turn\": n}} ({error})"))
         })?;
         let kind = ProgramRequestKind::Permit { turn: body.turn };
-        self.ask_home(id, request, kind).await
+        self.send_program_request(id, request, kind).await
     }
 
     /// Ends a program.
@@ -51,18 +51,19 @@
         &self,
         id: CallId,
         request: &Request<'_>,
-    ) -> Result<Answer, FrontError> {
-        self.ask_home(id, request, ProgramRequestKind::End).await
+    ) -> Result<CallerResponse, FrontError> {
+        self.send_program_request(id, request, ProgramRequestKind::End)
+            .await
     }
 
     /// Hands a request about a program to the core and waits for the answer.
-    async fn ask_home(
+    async fn send_program_request(
         &self,
         id: CallId,
         request: &Request<'_>,
         kind: ProgramRequestKind,
-    ) -> Result<Answer, FrontError> {
-        check_size(request)?;
+    ) -> Result<CallerResponse, FrontError> {
+        check_header_size(request)?;
         let key = read_key(request)?;
         let name = request.param::<String>(NAME_SEGMENT).and_then(Result::ok);
         let program = read_program_name(&name.unwrap_or_default(), key.as_ref())?;
@@ -70,22 +71,24 @@
             None => None,
             Some(text) => Some(self.read_continuation(text, &program, key.as_ref())?),
         };
-        let ask = ProgramRequest::builder()
+        let request = ProgramRequest::builder()
             .id(id)
             .maybe_key(key.map(|key| key.presented()))
             .program(program)
             .maybe_continuation(continuation)
             .kind(kind)
             .build();
-        let (outputs, mut answers) = mpsc::channel(1);
+        let (outputs, mut receiver) = mpsc::channel(1);
         self.inputs
             .try_send(Message::Open {
                 call: id,
-                input: Input::Program(Box::new(ask)),
+                input: Input::Program(Box::new(request)),
                 outputs,
             })
             .map_err(|_| FrontError::overloaded())?;
-        Ok(Answer::Whole(self.program_reply(id, answers.recv().await)))
+        Ok(CallerResponse::Whole(
+            self.program_reply(id, receiver.recv().await),
+        ))
     }
 
     /// Converts the answer of the core to a response.
--- a/crates/entry/src/front/refuse.rs
+++ b/crates/entry/src/front/refuse.rs
@@ -2,7 +2,7 @@
 
 use knapweeddale_core::{CallId, Decision, Execution, Refusal, RefusalKind};
 
-use super::shared::Shared;
+use super::shared::SharedState;
 use crate::call::Reply;
 use knapweeddale_runtime::Clock;
 
@@ -47,9 +47,9 @@
     }
 }
 
-impl<C: Clock> Shared<C> {
+impl<C: Clock> SharedState<C> {
     /// Logs and counts a refusal and returns the response.
-    pub fn refuse(&self, call: CallId, error: &FrontError) -> Reply {
+    pub fn refuse_request(&self, call: CallId, error: &FrontError) -> Reply {
         let refusal = Refusal {
             call,
             kind: error.kind,
--- a/crates/entry/src/front/respond.rs
+++ b/crates/entry/src/front/respond.rs
@@ -16,13 +16,13 @@
 
 /// Silence after which a comment is sent. The server notices only when it
 /// writes that a caller has disconnected.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An event that clients ignore.
-const COMMENT: &[u8] = b": waiting\n\n";
+const HEARTBEAT_EVENT: &[u8] = b": waiting\n\n";
 
 /// A response to a caller.
-pub(crate) enum Answer {
+pub(crate) enum CallerResponse {
     /// A whole response.
     Whole(Reply),
     /// A stream of events; the guard lasts until its end.
@@ -33,10 +33,10 @@
     },
 }
 
-impl<'r> Responder<'r, 'r> for Answer {
+impl<'r> Responder<'r, 'r> for CallerResponse {
     fn respond_to(self, request: &'r Request<'_>) -> response::Result<'r> {
         match self {
-            Self::Whole(reply) => Ok(whole(reply)),
+            Self::Whole(reply) => Ok(build_whole_response(reply)),
             Self::Events { call, parts, guard } => {
                 let chunks = stream::unfold((parts, guard), next_chunk);
                 let response = ByteStream(chunks).respond_to(request)?;
@@ -51,7 +51,7 @@
 }
 
 /// Returns a whole response.
-fn whole<'r>(reply: Reply) -> Response<'r> {
+fn build_whole_response<'r>(reply: Reply) -> Response<'r> {
     let mut response = Response::build();
     response.status(Status::new(reply.status));
     for (name, value) in reply.headers {
@@ -66,9 +66,9 @@
     (mut parts, guard): (mpsc::Receiver<ReplyPart>, InFlightGuard),
 ) -> Option<(Bytes, (mpsc::Receiver<ReplyPart>, InFlightGuard))> {
     loop {
-        let part = match timeout(HEARTBEAT, parts.recv()).await {
+        let part = match timeout(HEARTBEAT_INTERVAL, parts.recv()).await {
             Ok(part) => part?,
-            Err(_) => ReplyPart::Chunk(Bytes::from_static(COMMENT)),
+            Err(_) => ReplyPart::Chunk(Bytes::from_static(HEARTBEAT_EVENT)),
         };
         match part {
             ReplyPart::Chunk(chunk) => return Some((chunk, (parts, guard))),
--- a/crates/entry/src/front/routes.rs
+++ b/crates/entry/src/front/routes.rs
@@ -15,8 +15,8 @@
 use serde_json::json;
 
 use super::completions;
-use super::respond::Answer;
-use super::shared::Shared;
+use super::respond::CallerResponse;
+use super::shared::SharedState;
 use crate::call::Reply;
 use knapweeddale_runtime::Clock;
 
@@ -46,12 +46,12 @@
 }
 
 /// The handler of a route.
-struct Front<C> {
-    shared: Arc<Shared<C>>,
+struct EndpointHandler<C> {
+    shared: Arc<SharedState<C>>,
     endpoint: Endpoint,
 }
 
-impl<C> Clone for Front<C> {
+impl<C> Clone for EndpointHandler<C> {
     fn clone(&self) -> Self {
         Self {
             shared: Arc::clone(&self.shared),
@@ -61,28 +61,29 @@
 }
 
 #[rocket::async_trait]
-impl<C: Clock> Handler for Front<C> {
+impl<C: Clock> Handler for EndpointHandler<C> {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
         let shared = &self.shared;
         let id = shared.ids.next();
-        let answer = match self.endpoint {
-            Endpoint::Complete => shared.complete(id, request, data).await,
-            Endpoint::Service => shared.call_service(id, request, data).await,
+        let response = match self.endpoint {
+            Endpoint::Complete => shared.run_completion(id, request, data).await,
+            Endpoint::Service => shared.run_service_request(id, request, data).await,
             Endpoint::Permit => shared.issue_permit(id, request, data).await,
             Endpoint::End => shared.end_program(id, request).await,
-            Endpoint::Models => Ok(Answer::Whole(shared.models())),
-            Endpoint::Health => Ok(Answer::Whole(shared.health())),
-            Endpoint::State => Ok(Answer::Whole(shared.state())),
-            Endpoint::Readiness => Ok(Answer::Whole(shared.readiness())),
-            Endpoint::Metrics => Ok(Answer::Whole(shared.metrics_text())),
+            Endpoint::Models => Ok(CallerResponse::Whole(shared.list_models())),
+            Endpoint::Health => Ok(CallerResponse::Whole(shared.health_response())),
+            Endpoint::State => Ok(CallerResponse::Whole(shared.state_response())),
+            Endpoint::Readiness => Ok(CallerResponse::Whole(shared.readiness_response())),
+            Endpoint::Metrics => Ok(CallerResponse::Whole(shared.metrics_response())),
         };
-        let answer = answer.unwrap_or_else(|error| Answer::Whole(shared.refuse(id, &error)));
-        Outcome::from(request, answer)
+        let response = response
+            .unwrap_or_else(|error| CallerResponse::Whole(shared.refuse_request(id, &error)));
+        Outcome::from(request, response)
     }
 }
 
 /// Builds the server. Its own handling of signals is off: it would cut streams.
-pub(crate) fn build<C: Clock>(listen: SocketAddr, shared: &Arc<Shared<C>>) -> Rocket<Build> {
+pub(crate) fn build<C: Clock>(listen: SocketAddr, shared: &Arc<SharedState<C>>) -> Rocket<Build> {
     let config = Config {
         address: listen.ip(),
         port: listen.port(),
@@ -99,7 +100,7 @@
     };
     let route = |method, path: &str, endpoint| {
         let shared = Arc::clone(shared);
-        Route::new(method, path, Front { shared, endpoint })
+        Route::new(method, path, EndpointHandler { shared, endpoint })
     };
     let mut routes = vec![
         route(Method::Post, completions::PATH, Endpoint::Complete),
@@ -123,11 +124,11 @@
         // The default headers concern browsers, which are no callers.
         .attach(Shield::new())
         .mount("/", routes)
-        .register("/", vec![Catcher::new(None, not_routed)])
+        .register("/", vec![Catcher::new(None, catch_unrouted)])
 }
 
 /// Answers requests that match no route or that the server cannot read.
-fn not_routed<'r>(status: Status, request: &'r Request<'_>) -> BoxFuture<'r> {
+fn catch_unrouted<'r>(status: Status, request: &'r Request<'_>) -> BoxFuture<'r> {
     let (kind, remedy) = match status.code {
         404 | 405 => ("route_unknown", "see docs/api.md for the routes"),
         413 | 431 => ("too_large", "send a smaller request"),
@@ -142,5 +143,5 @@
         "retry_after_ms": null,
     }});
     let reply = Reply::json(status.code, &error).with_header("kwd-ran", "not_run");
-    Box::pin(async move { Answer::Whole(reply).respond_to(request) })
+    Box::pin(async move { CallerResponse::Whole(reply).respond_to(request) })
 }
--- a/crates/entry/src/front/services.rs
+++ b/crates/entry/src/front/services.rs
@@ -11,8 +11,8 @@
 use tokio::time::timeout;
 
 use super::refuse::FrontError;
-use super::respond::Answer;
-use super::shared::Shared;
+use super::respond::CallerResponse;
+use super::shared::SharedState;
 use crate::call::{CallContext, CallKind};
 use crate::upstream::UpstreamRequest;
 use knapweeddale_runtime::Clock;
@@ -23,22 +23,22 @@
 /// Longest time for a caller to send a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-impl<C: Clock> Shared<C> {
+impl<C: Clock> SharedState<C> {
     /// Runs a request to a plain service.
-    pub async fn call_service(
+    pub async fn run_service_request(
         self: &Arc<Self>,
         id: CallId,
         request: &Request<'_>,
         data: Data<'_>,
-    ) -> Result<Answer, FrontError> {
+    ) -> Result<CallerResponse, FrontError> {
         let headers = self.read_headers(request)?;
         let uri = request.uri().to_string();
-        headers.check_key_hidden("path", uri.as_bytes())?;
+        headers.reject_exposed_key("path", uri.as_bytes())?;
         let (service, path_and_query) = split_uri(&uri)?;
         let label = self.service_label(&service);
         self.metrics.count_request(&label);
         let raw = read_body(data, self.max_body_bytes).await?;
-        headers.check_key_hidden("body", &raw)?;
+        headers.reject_exposed_key("body", &raw)?;
         if let Some(program) = &headers.program {
             self.check_draining(program)?;
         }
@@ -53,7 +53,7 @@
         };
         let new = NewCall::builder()
             .id(id)
-            .maybe_key(headers.presented())
+            .maybe_key(headers.presented_key())
             .target(target)
             .maybe_program(headers.program.clone())
             .maybe_permit(headers.permit.clone())
@@ -73,7 +73,7 @@
                 body: raw.into(),
             },
         };
-        self.open(new, context).await
+        self.start_call(new, context).await
     }
 }
 
--- a/crates/entry/src/front/shared.rs
+++ b/crates/entry/src/front/shared.rs
@@ -12,7 +12,7 @@
 use crate::call::{InFlight, ResponseCache};
 use crate::control::{InputSender, StatusReader};
 use crate::metrics::Metrics;
-use crate::upstream::{LastAlive, UpstreamClient};
+use crate::upstream::{LastRequestTimes, UpstreamClient};
 use knapweeddale_runtime::Clock;
 
 /// The label of services that are not in the configuration.
@@ -20,14 +20,14 @@
 
 /// What all requests share.
 #[derive(Debug)]
-pub(crate) struct Shared<C> {
+pub(crate) struct SharedState<C> {
     pub vm: VmName,
     pub inputs: InputSender,
     pub clock: C,
     pub upstream: UpstreamClient,
-    pub last_alive: LastAlive,
+    pub last_requests: LastRequestTimes,
     pub signer: Signer,
-    pub answers: ResponseCache,
+    pub response_cache: ResponseCache,
     pub metrics: Arc<Metrics>,
     pub in_flight: InFlight,
     pub ids: CallIds,
@@ -40,7 +40,7 @@
     pub response_queue_len: usize,
 }
 
-impl<C: Clock> Shared<C> {
+impl<C: Clock> SharedState<C> {
     /// Returns the label of a service: its name if it is configured.
     pub fn service_label(&self, service: &ServiceName) -> String {
         let status = self.status.borrow();
--- a/crates/entry/src/inbox.rs
+++ b/crates/entry/src/inbox.rs
@@ -6,11 +6,11 @@
 use knapweeddale_peer::{Delivery, KeptAnswer, PeerHandler};
 
 use crate::control::Message;
-use crate::front::Shared;
+use crate::front::SharedState;
 use knapweeddale_runtime::Clock;
 
 /// Hands requests of other VMs to the control thread.
-pub(crate) struct Inbox<C>(pub Arc<Shared<C>>);
+pub(crate) struct Inbox<C>(pub Arc<SharedState<C>>);
 
 impl<C: Clock> PeerHandler for Inbox<C> {
     fn deliver(&self, delivery: Delivery) {
@@ -21,6 +21,9 @@
     }
 
     fn fetch_answer(&self, call: CallId, digest: ContentDigest) -> Option<KeptAnswer> {
-        self.0.answers.get(call, digest).map(KeptAnswer::from)
+        self.0
+            .response_cache
+            .get(call, digest)
+            .map(KeptAnswer::from)
     }
 }
--- a/crates/entry/src/known_peers.rs
+++ b/crates/entry/src/known_peers.rs
@@ -9,17 +9,17 @@
 
 use crate::control::StatusReader;
 
-/// Time between two rounds of questions.
+/// Time between two rounds of requests.
 const INTERVAL: Duration = Duration::from_secs(1);
 
 /// Asks the VMs named in the settings for view and configuration until both
 /// are known. The store answers first unless it is down.
-pub(crate) async fn ask_known_peers(
+pub(crate) async fn query_known_peers(
     options: PeerOptions,
     peers: Vec<SocketAddr>,
     status: StatusReader,
 ) {
-    let questions: [PeerMessage; 2] = [
+    let requests: [PeerMessage; 2] = [
         MembershipMessage::ViewRequest { known: Epoch(0) }.into(),
         ConfigMessage::ConfigRequest {
             in_force: Revision(0),
@@ -28,13 +28,13 @@
     ];
     loop {
         tokio::time::sleep(INTERVAL).await;
-        if is_informed(&status) {
+        if has_view_and_config(&status) {
             return;
         }
         for peer in &peers {
             let address = peer.to_string();
-            let asked = Peers::deliver_once(&options, &address, &questions).await;
-            if let Err(error) = asked {
+            let delivered = Peers::deliver_once(&options, &address, &requests).await;
+            if let Err(error) = delivered {
                 tracing::debug!("membership: {error}");
             }
         }
@@ -42,7 +42,7 @@
 }
 
 /// Returns whether view and configuration are known.
-fn is_informed(status: &StatusReader) -> bool {
+fn has_view_and_config(status: &StatusReader) -> bool {
     let status = status.borrow();
     status.view.epoch.0 > 0 && status.fleet.revision.0 > 0
 }
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -19,7 +19,7 @@
     },
     /// The process has a log already.
     #[display("the log is set up already ({source}); set it up once")]
-    Twice {
+    AlreadyInitialized {
         /// The error of the log.
         source: SetGlobalDefaultError,
     },
@@ -60,5 +60,5 @@
         LogFormat::Text => set_global_default(builder.finish()),
         LogFormat::Json => set_global_default(builder.json().finish()),
     };
-    result.map_err(|source| LogError::Twice { source })
+    result.map_err(|source| LogError::AlreadyInitialized { source })
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -14,7 +14,7 @@
 };
 
 /// Bounds of times in seconds, from below the target of 1 ms to a long answer.
-const SECONDS: &[f64] = &[
+const DURATION_BUCKETS_S: &[f64] = &[
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.05, 0.1, 0.3, 0.59, 1.0, 3.0, 10.0, 30.0, 100.0,
 ];
 
@@ -62,11 +62,11 @@
             register(&registry, gauges)
         };
         let times = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(DURATION_BUCKETS_S.to_vec());
             register(&registry, HistogramVec::new(options, &["service"]))
         };
         let tick_options = HistogramOpts::new("kwd_tick_seconds", "Time of one control tick.");
-        let tick_s = Histogram::with_opts(tick_options.buckets(SECONDS.to_vec()));
+        let tick_s = Histogram::with_opts(tick_options.buckets(DURATION_BUCKETS_S.to_vec()));
         Ok(Self {
             requests: counters("kwd_requests_total", "Requests received.", &["service"])?,
             refusals: counters("kwd_refusals_total", "Refusals by kind.", &["kind"])?,
@@ -132,13 +132,13 @@
     }
 
     /// Notes the time to the first token or byte.
-    pub(crate) fn note_first_token(&self, service: &str, took: Duration) {
+    pub(crate) fn observe_first_token(&self, service: &str, took: Duration) {
         let times = self.first_token_s.with_label_values(&[service]);
         times.observe(took.as_secs_f64());
     }
 
     /// Notes the time of a call that ran.
-    pub(crate) fn note_call(&self, service: &str, took: Duration) {
+    pub(crate) fn observe_call(&self, service: &str, took: Duration) {
         let times = self.call_s.with_label_values(&[service]);
         times.observe(took.as_secs_f64());
     }
@@ -204,7 +204,7 @@
     }
 
     /// Takes over the counts of the exchange with other VMs.
-    pub(crate) fn set_peer(&self, counts: &CountsSnapshot) {
+    pub(crate) fn set_peer_counts(&self, counts: &CountsSnapshot) {
         for (kind, value) in [
             ("sent_messages", counts.sent_messages),
             ("sent_bytes", counts.sent_bytes),
@@ -222,7 +222,7 @@
     }
 
     /// Takes over the counts of calls to the object API.
-    pub(crate) fn set_store(&self, counts: &knapweeddale_store::CallCounts) {
+    pub(crate) fn set_store_counts(&self, counts: &knapweeddale_store::CallCounts) {
         for (kind, value) in [
             ("reads", counts.reads),
             ("writes", counts.writes),
--- a/crates/entry/src/upstream/client.rs
+++ b/crates/entry/src/upstream/client.rs
@@ -35,18 +35,18 @@
 
 /// Time limits of an attempt.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct UpstreamTimes {
+pub(crate) struct UpstreamTimeouts {
     /// Longest wait for the first byte or token.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Longest pause within the response.
-    pub gap: Duration,
+    pub token_gap: Duration,
 }
 
-impl From<&Dispatch> for UpstreamTimes {
+impl From<&Dispatch> for UpstreamTimeouts {
     fn from(dispatch: &Dispatch) -> Self {
         Self {
-            first: Duration::from_millis(dispatch.first_token_ms),
-            gap: Duration::from_millis(dispatch.token_gap_ms),
+            first_token: Duration::from_millis(dispatch.first_token_ms),
+            token_gap: Duration::from_millis(dispatch.token_gap_ms),
         }
     }
 }
@@ -75,29 +75,29 @@
     }
 
     /// Returns the HTTP client for requests that belong to no call.
-    pub fn http(&self) -> &Client {
+    pub fn http_client(&self) -> &Client {
         &self.0
     }
 
     /// Sends a request and waits for the head of the response.
-    pub async fn open(
+    pub async fn send_request(
         &self,
         dispatch: &Dispatch,
         request: &UpstreamRequest,
     ) -> Result<Response, Failure> {
         let url = format!("http://{}{}", dispatch.address, request.path);
         let mut headers = request.headers.clone();
-        name_call(&mut headers, dispatch, request.call);
+        insert_call_headers(&mut headers, dispatch, request.call);
         let sent = self
             .0
             .request(request.method.clone(), url)
             .headers(headers)
             .body(request.body.clone())
             .send();
-        let first = Duration::from_millis(dispatch.first_token_ms);
-        match timeout(first, sent).await {
+        let first_token = Duration::from_millis(dispatch.first_token_ms);
+        match timeout(first_token, sent).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(error)) => Err(failure_of(&error)),
+            Ok(Err(error)) => Err(classify_error(&error)),
             Err(_) => Err(Failure::Silent {
                 answer_tokens: 0,
                 forwarded: false,
@@ -107,7 +107,7 @@
 }
 
 /// Adds the headers that name call, attempt and program.
-fn name_call(headers: &mut HeaderMap, dispatch: &Dispatch, call: CallId) {
+fn insert_call_headers(headers: &mut HeaderMap, dispatch: &Dispatch, call: CallId) {
     let mut put = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::from_str(&value) {
             headers.insert(HeaderName::from_static(name), value);
@@ -131,7 +131,7 @@
 /// Converts an error of the HTTP client.
 ///
 /// Only a connection that was never made proves that nothing was sent.
-fn failure_of(error: &reqwest::Error) -> Failure {
+fn classify_error(error: &reqwest::Error) -> Failure {
     if error.is_connect() || error.is_builder() {
         return Failure::NotSent;
     }
--- a/crates/entry/src/upstream/completion.rs
+++ b/crates/entry/src/upstream/completion.rs
@@ -6,7 +6,7 @@
 use knapweeddale_token::HistoryChain;
 use serde_json::{Map, Value, json};
 
-use super::events::event_data;
+use super::events::parse_event_data;
 use crate::front::canonical_message;
 
 /// The data of the event that ends a stream.
@@ -14,7 +14,7 @@
 
 /// What an event adds to a completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum EventKind {
     /// A part of the answer.
     Token,
     /// Something else, such as the numbers of tokens.
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Completion {
     /// Fields of the first chunk, such as `id` and `model`.
-    head: Map<String, Value>,
+    base_fields: Map<String, Value>,
     choices: BTreeMap<u64, Choice>,
     usage: Option<Value>,
     tokens: u64,
@@ -52,37 +52,37 @@
 /// # Events
 impl Completion {
     /// Adds an event.
-    pub fn add(&mut self, event: &[u8]) -> Step {
-        let Some(data) = event_data(event) else {
-            return Step::Other;
+    pub fn add_event(&mut self, event: &[u8]) -> EventKind {
+        let Some(data) = parse_event_data(event) else {
+            return EventKind::Other;
         };
         if data == DONE {
-            return Step::Done;
+            return EventKind::Done;
         }
         let Ok(Value::Object(chunk)) = serde_json::from_slice(data) else {
-            return Step::Other;
+            return EventKind::Other;
         };
         self.add_chunk(chunk)
     }
 
     /// Adds the chunk of an event.
-    fn add_chunk(&mut self, mut chunk: Map<String, Value>) -> Step {
+    fn add_chunk(&mut self, mut chunk: Map<String, Value>) -> EventKind {
         if let Some(usage) = chunk.remove("usage").filter(Value::is_object) {
             self.usage = Some(usage);
         }
         let choices = chunk.remove("choices").unwrap_or_default();
-        if self.head.is_empty() {
-            self.head = chunk;
+        if self.base_fields.is_empty() {
+            self.base_fields = chunk;
         }
-        let mut step = Step::Other;
+        let mut kind = EventKind::Other;
         for choice in choices.as_array().into_iter().flatten() {
             let index = choice["index"].as_u64().unwrap_or(0);
-            if self.choices.entry(index).or_default().add(choice) {
-                step = Step::Token;
+            if self.choices.entry(index).or_default().add_delta(choice) {
+                kind = EventKind::Token;
                 self.tokens += 1;
             }
         }
-        step
+        kind
     }
 
     /// Returns the parts of the answer so far, one for each token.
@@ -93,7 +93,7 @@
 
 impl Choice {
     /// Adds a part; returns whether it carried any of the answer.
-    fn add(&mut self, part: &Value) -> bool {
+    fn add_delta(&mut self, part: &Value) -> bool {
         if !part["finish_reason"].is_null() {
             self.finish_reason = part["finish_reason"].clone();
         }
@@ -114,7 +114,7 @@
     }
 
     /// Returns the message as the caller sends it back with the next turn.
-    fn message(&self) -> Value {
+    fn build_message(&self) -> Value {
         let mut message = json!({"role": "assistant", "content": self.content});
         if !self.tool_calls.is_empty() {
             let calls = self.tool_calls.values().map(|tool| {
@@ -134,11 +134,11 @@
         let choices = self.choices.iter().map(|(index, choice)| {
             json!({
                 "index": index,
-                "message": choice.message(),
+                "message": choice.build_message(),
                 "finish_reason": choice.finish_reason,
             })
         });
-        let mut whole = Value::Object(self.head.clone());
+        let mut whole = Value::Object(self.base_fields.clone());
         whole["object"] = json!("chat.completion");
         whole["choices"] = choices.collect();
         whole["usage"] = self.usage.clone().unwrap_or_default();
@@ -148,9 +148,9 @@
     /// Returns the numbers of tokens and the history including the answer.
     ///
     /// `prompt_tokens` stands in for an engine that reports no numbers.
-    pub fn outcome(&self, mut history: HistoryChain, prompt_tokens: u64) -> AttemptOutcome {
+    pub fn build_outcome(&self, mut history: HistoryChain, prompt_tokens: u64) -> AttemptOutcome {
         if let Some(choice) = self.choices.values().next() {
-            history.extend(&canonical_message(&choice.message()));
+            history.extend(&canonical_message(&choice.build_message()));
         }
         let usage = self.usage.as_ref();
         let number = |pointer: &str| usage.and_then(|usage| usage.pointer(pointer)?.as_u64());
--- a/crates/entry/src/upstream/events.rs
+++ b/crates/entry/src/upstream/events.rs
@@ -38,7 +38,7 @@
     /// `limit` is the longest silence; each arrival of bytes starts it anew.
     pub async fn next(&mut self, limit: Duration) -> Result<Bytes, EventError> {
         loop {
-            if let Some(end) = event_end(&self.buffer) {
+            if let Some(end) = find_event_end(&self.buffer) {
                 return Ok(self.buffer.split_to(end).freeze());
             }
             if self.buffer.len() > MAX_EVENT_BYTES {
@@ -54,7 +54,7 @@
 }
 
 /// Returns the length of the first event including its blank line.
-fn event_end(buffer: &[u8]) -> Option<usize> {
+fn find_event_end(buffer: &[u8]) -> Option<usize> {
     let lf = buffer.windows(2).position(|w| w == b"\n\n");
     let crlf = buffer.windows(4).position(|w| w == b"\r\n\r\n");
     match (lf, crlf) {
@@ -66,7 +66,7 @@
 }
 
 /// Returns the data of an event.
-pub(crate) fn event_data(event: &[u8]) -> Option<&[u8]> {
+pub(crate) fn parse_event_data(event: &[u8]) -> Option<&[u8]> {
     event.split(|byte| *byte == b'\n').find_map(|line| {
         let data = line.strip_prefix(b"data:")?;
         Some(data.trim_ascii())
--- a/crates/entry/src/upstream/headers.rs
+++ b/crates/entry/src/upstream/headers.rs
@@ -15,10 +15,10 @@
 
 /// Headers that the client sets itself. Compressed responses could not be
 /// read or kept, so none is asked for.
-const OWN: &[&str] = &["host", "content-length", "accept-encoding", "expect"];
+const CLIENT_HEADERS: &[&str] = &["host", "content-length", "accept-encoding", "expect"];
 
 /// Parts of names that mark a header as a credential.
-const CREDENTIAL: &[&str] = &[
+const CREDENTIAL_PARTS: &[&str] = &[
     "authorization",
     "authenticate",
     "cookie",
@@ -34,19 +34,19 @@
 ];
 
 /// Prefix of headers between callers and knapweeddale.
-const OWN_PREFIX: &str = "kwd-";
+const INTERNAL_PREFIX: &str = "kwd-";
 
 /// Returns whether a header may be passed on, apart from its value.
-fn may_pass(name: &str, connection: &[String]) -> bool {
+fn is_forwardable(name: &str, connection: &[String]) -> bool {
     let is_named = |list: &[&str]| list.contains(&name);
     !is_named(HOP_BY_HOP)
-        && !is_named(OWN)
+        && !is_named(CLIENT_HEADERS)
         && !connection.iter().any(|listed| listed == name)
-        && !name.starts_with(OWN_PREFIX)
+        && !name.starts_with(INTERNAL_PREFIX)
 }
 
 /// Returns the headers that the `connection` header makes hop-by-hop.
-fn listed_in_connection<'a>(headers: impl Iterator<Item = (&'a str, &'a str)>) -> Vec<String> {
+fn parse_connection_header<'a>(headers: impl Iterator<Item = (&'a str, &'a str)>) -> Vec<String> {
     headers
         .filter(|(name, _)| name.eq_ignore_ascii_case("connection"))
         .flat_map(|(_, value)| value.split(','))
@@ -58,17 +58,17 @@
 ///
 /// A header is dropped if its name marks a credential or its value holds the
 /// caller's key.
-pub(crate) fn forwardable<'a>(
+pub(crate) fn filter_request_headers<'a>(
     headers: impl Iterator<Item = (&'a str, &'a str)> + Clone,
     key: Option<&str>,
 ) -> HeaderMap {
-    let connection = listed_in_connection(headers.clone());
+    let connection = parse_connection_header(headers.clone());
     let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
         let name = name.to_ascii_lowercase();
-        let is_credential = CREDENTIAL.iter().any(|part| name.contains(part));
+        let is_credential = CREDENTIAL_PARTS.iter().any(|part| name.contains(part));
         let holds_key = key.is_some_and(|key| value.contains(key));
-        if is_credential || holds_key || !may_pass(&name, &connection) {
+        if is_credential || holds_key || !is_forwardable(&name, &connection) {
             continue;
         }
         if let (Ok(name), Ok(value)) = (
@@ -82,15 +82,15 @@
 }
 
 /// Returns the headers of an upstream's response that the caller may see.
-pub(crate) fn returnable(headers: &HeaderMap) -> Vec<(String, String)> {
+pub(crate) fn filter_response_headers(headers: &HeaderMap) -> Vec<(String, String)> {
     let texts = || {
         headers
             .iter()
             .filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)))
     };
-    let connection = listed_in_connection(texts());
+    let connection = parse_connection_header(texts());
     texts()
-        .filter(|(name, _)| may_pass(name, &connection))
+        .filter(|(name, _)| is_forwardable(name, &connection))
         .map(|(name, value)| (name.to_owned(), value.to_owned()))
         .collect()
 }
--- a/crates/entry/src/upstream/loads.rs
+++ b/crates/entry/src/upstream/loads.rs
@@ -40,13 +40,13 @@
     loop {
         let engines = {
             let status = status.borrow();
-            owned_engines(&status.fleet, &status.view, &vm)
+            find_owned_engines(&status.fleet, &status.view, &vm)
         };
         let reports = engines
             .into_iter()
-            .map(|(upstream, address)| ask(&client, upstream, address));
+            .map(|(upstream, address)| fetch_load(&client, upstream, address));
         for (upstream, load) in join_all(reports).await.into_iter().flatten() {
-            for input in inputs_of(upstream, load) {
+            for input in build_inputs(upstream, load) {
                 inputs.send_input(input).await;
             }
         }
@@ -55,9 +55,13 @@
 }
 
 /// Returns name and address of the engines in pools that a VM owns.
-fn owned_engines(fleet: &FleetConfig, view: &View, vm: &VmName) -> Vec<(UpstreamName, String)> {
+fn find_owned_engines(
+    fleet: &FleetConfig,
+    view: &View,
+    vm: &VmName,
+) -> Vec<(UpstreamName, String)> {
     let engines = fleet.services.iter().flat_map(|service| {
-        let models = owned_models(service, view, vm);
+        let models = find_owned_models(service, view, vm);
         let gives_orders = view.orders_owner(&service.name) == Some(vm);
         let is_owned = move |upstream: &&UpstreamConfig| {
             gives_orders || upstream.models.iter().any(|model| models.contains(model))
@@ -70,7 +74,7 @@
 }
 
 /// Returns the models of a service whose pool a VM owns.
-fn owned_models(service: &ServiceConfig, view: &View, vm: &VmName) -> Vec<ModelName> {
+fn find_owned_models(service: &ServiceConfig, view: &View, vm: &VmName) -> Vec<ModelName> {
     let ServiceKind::Engine(engine) = &service.kind else {
         return Vec::new();
     };
@@ -85,13 +89,13 @@
 }
 
 /// Asks one engine.
-async fn ask(
+async fn fetch_load(
     client: &UpstreamClient,
     upstream: UpstreamName,
     address: String,
 ) -> Option<(UpstreamName, Load)> {
     let url = format!("http://{address}/load");
-    let sent = client.http().get(url).timeout(TIMEOUT).send();
+    let sent = client.http_client().get(url).timeout(TIMEOUT).send();
     let load = sent
         .await
         .ok()?
@@ -104,7 +108,7 @@
 }
 
 /// Returns the inputs that a load report makes.
-fn inputs_of(upstream: UpstreamName, load: Load) -> impl Iterator<Item = Input> {
+fn build_inputs(upstream: UpstreamName, load: Load) -> impl Iterator<Item = Input> {
     let running_calls = load.running_calls;
     let loaded = load.models.map(|models| Input::Loaded {
         upstream: upstream.clone(),
--- a/crates/entry/src/upstream/orders.rs
+++ b/crates/entry/src/upstream/orders.rs
@@ -28,7 +28,7 @@
         tokio::spawn(async move {
             // A VM that was paused past its lease must not send what it decided before.
             let result = if clock.now_us() < order.valid_until_us {
-                send(&client, &order, timeout).await
+                send_order(&client, &order, timeout).await
             } else {
                 OrderResult::Unknown
             };
@@ -43,9 +43,13 @@
 }
 
 /// Sends one order and waits for its answer.
-async fn send(client: &UpstreamClient, order: &Order, timeout: Duration) -> OrderResult {
+async fn send_order(client: &UpstreamClient, order: &Order, timeout: Duration) -> OrderResult {
     let url = format!("http://{}/orders", order.address);
-    let sent = client.http().post(url).timeout(timeout).json(&body(order));
+    let sent = client
+        .http_client()
+        .post(url)
+        .timeout(timeout)
+        .json(&encode_order(order));
     match sent.send().await.map(|response| response.status()) {
         Ok(status) if status.is_success() => OrderResult::Done,
         Ok(reqwest::StatusCode::CONFLICT) => OrderResult::Stale,
@@ -54,7 +58,7 @@
 }
 
 /// Returns the body of an order.
-fn body(order: &Order) -> Value {
+fn encode_order(order: &Order) -> Value {
     let body = |action: &str, model: &ModelName| {
         json!({
             "action": action,
--- a/crates/entry/src/upstream/probe.rs
+++ b/crates/entry/src/upstream/probe.rs
@@ -18,11 +18,11 @@
 
 /// When each upstream was last known to be alive.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct LastAlive(Arc<Mutex<HashMap<UpstreamName, Instant>>>);
+pub(crate) struct LastRequestTimes(Arc<Mutex<HashMap<UpstreamName, Instant>>>);
 
-impl LastAlive {
+impl LastRequestTimes {
     /// Notes that an upstream is about to get a request.
-    pub fn note(&self, upstream: &UpstreamName) {
+    pub fn record(&self, upstream: &UpstreamName) {
         let mut times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         times.insert(upstream.clone(), Instant::now());
     }
@@ -43,16 +43,16 @@
 /// Probes upstreams until the control thread ends.
 pub(crate) async fn serve_probes(
     client: UpstreamClient,
-    mut orders: mpsc::Receiver<ProbeRequest>,
-    last_alive: LastAlive,
+    mut requests: mpsc::Receiver<ProbeRequest>,
+    last_requests: LastRequestTimes,
     inputs: InputSender,
 ) {
-    while let Some(order) = orders.recv().await {
+    while let Some(request) = requests.recv().await {
         let (client, inputs) = (client.clone(), inputs.clone());
-        let last_alive = last_alive.clone();
+        let last_requests = last_requests.clone();
         tokio::spawn(async move {
-            let state = probe(&client, &order, &last_alive).await;
-            let upstream = order.upstream;
+            let state = probe(&client, &request, &last_requests).await;
+            let upstream = request.upstream;
             inputs.send_input(Input::Probed { upstream, state }).await;
         });
     }
@@ -64,11 +64,11 @@
 /// that reports no age, such as a plain service, counts as not restarted.
 async fn probe(
     client: &UpstreamClient,
-    order: &ProbeRequest,
-    last_alive: &LastAlive,
+    request: &ProbeRequest,
+    last_requests: &LastRequestTimes,
 ) -> ProbeState {
-    let url = format!("http://{}/load", order.address);
-    let sent = client.http().get(url).timeout(TIMEOUT).send().await;
+    let url = format!("http://{}/load", request.address);
+    let sent = client.http_client().get(url).timeout(TIMEOUT).send().await;
     let response = match sent {
         Ok(response) => response,
         Err(error) if error.is_connect() => return ProbeState::Down,
@@ -79,7 +79,7 @@
         .await
         .ok()
         .and_then(|l| l.uptime_ms);
-    match (uptime, last_alive.age(&order.upstream)) {
+    match (uptime, last_requests.age(&request.upstream)) {
         (Some(uptime_ms), Some(age)) if Duration::from_millis(uptime_ms) < age => {
             ProbeState::Restarted
         }
--- a/crates/entry/src/upstream/release.rs
+++ b/crates/entry/src/upstream/release.rs
@@ -15,11 +15,11 @@
 
 /// Releases in flight at once, so that engines which do not answer hold no
 /// more than these connections.
-const MAX_RUNNING: usize = 32;
+const MAX_CONCURRENT_RELEASES: usize = 32;
 
-/// The order to release the memory of a program at an engine.
+/// The request to release the memory of a program at an engine.
 #[derive(Debug)]
-pub(crate) struct ReleaseOrder {
+pub(crate) struct ReleaseRequest {
     /// The engine.
     pub upstream: UpstreamName,
     /// Its address as `ip:port`.
@@ -33,42 +33,47 @@
 /// Sends releases until the control thread ends.
 pub(crate) async fn serve_releases(
     client: UpstreamClient,
-    mut orders: mpsc::Receiver<ReleaseOrder>,
+    mut requests: mpsc::Receiver<ReleaseRequest>,
     inputs: InputSender,
 ) {
-    let room = Arc::new(Semaphore::new(MAX_RUNNING));
-    while let Some(order) = orders.recv().await {
-        let Ok(room) = Arc::clone(&room).acquire_owned().await else {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_RELEASES));
+    while let Some(request) = requests.recv().await {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         let (client, inputs) = (client.clone(), inputs.clone());
         tokio::spawn(async move {
-            match release(&client, &order).await {
-                Ok(()) => inputs.send_input(confirmation(order)).await,
+            match release(&client, &request).await {
+                Ok(()) => inputs.send_input(build_confirmation(request)).await,
                 Err(error) => {
-                    let (program, upstream) = (&order.program, &order.upstream);
+                    let (program, upstream) = (&request.program, &request.upstream);
                     tracing::debug!("homes: no release of {program} at {upstream}, {error}");
                 }
             }
-            drop(room);
+            drop(permit);
         });
     }
 }
 
 /// Returns the input that confirms a release.
-fn confirmation(order: ReleaseOrder) -> Input {
+fn build_confirmation(request: ReleaseRequest) -> Input {
     Input::ReleaseConfirmed {
-        upstream: order.upstream,
-        program: order.program,
-        generation: order.generation,
+        upstream: request.upstream,
+        program: request.program,
+        generation: request.generation,
     }
 }
 
 /// Sends one release and waits for its confirmation.
-async fn release(client: &UpstreamClient, order: &ReleaseOrder) -> reqwest::Result<()> {
-    let url = format!("http://{}/cache/release", order.address);
-    let body = json!({"program": order.program.to_string(), "generation": order.generation});
-    let sent = client.http().post(url).timeout(TIMEOUT).json(&body).send();
+async fn release(client: &UpstreamClient, request: &ReleaseRequest) -> reqwest::Result<()> {
+    let url = format!("http://{}/cache/release", request.address);
+    let body = json!({"program": request.program.to_string(), "generation": request.generation});
+    let sent = client
+        .http_client()
+        .post(url)
+        .timeout(TIMEOUT)
+        .json(&body)
+        .send();
     sent.await?.error_for_status()?;
     Ok(())
 }
