--- a/crates/relay/src/adapter.rs
+++ b/crates/relay/src/adapter.rs
@@ -97,7 +97,7 @@
     /// Builds the headers of the request for an upstream.
     ///
     /// Hop-by-hop headers, the length of the body and keys of callers are omitted.
-    fn encode_headers(&self, head: &Parts, forward: ForwardContext<'_>) -> HeaderMap;
+    fn encode_headers(&self, head: &Parts, context: ForwardContext<'_>) -> HeaderMap;
 
     /// Decodes the head of an upstream's response.
     fn decode_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo;
