--- a/crates/entry/src/control/input.rs
+++ b/crates/entry/src/control/input.rs
@@ -1,4 +1,4 @@
-//! The messages to the control thread and its outputs for one call.
+//! Messages to the control thread, and its outputs for single calls.
 
 use knapweeddale_core::input::{Continuation, Permit};
 use knapweeddale_core::output::Answered;
@@ -9,20 +9,20 @@
 /// A message to the control thread.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// An input of the core.
+    /// An input for the core.
     Input(Input),
-    /// An input that opens a call, with the receiver of its outputs.
+    /// An input that opens a call, with the channel for its outputs.
     Open {
-        /// The call or request.
+        /// ID of the call, or of a request about a program.
         call: CallId,
-        /// The input.
+        /// The input that opens the call.
         input: Input,
-        /// Where the outputs for the call go.
+        /// Channel for the outputs of the call.
         outputs: mpsc::Sender<CallOutput>,
     },
-    /// Messages of another VM.
+    /// A batch of messages from another VM.
     Delivery(Delivery),
-    /// The process ends.
+    /// Ends the control thread.
     Stop,
 }
 
@@ -31,24 +31,24 @@
 pub(crate) enum CallOutput {
     /// Run an attempt.
     Dispatch(Dispatch),
-    /// Stop an attempt.
+    /// Cancel an attempt.
     Cancel(AttemptId),
-    /// The call ran.
+    /// The call is complete.
     Answered(Box<Answered>),
     /// The call is refused.
     Refused(Refusal),
-    /// Answer with a kept response.
+    /// Answer with a cached response.
     Replay {
-        /// The peer that keeps it; `None` if it is this VM.
+        /// Address of the VM that has the response; `None` if it is this VM.
         peer: Option<String>,
-        /// The call that ran.
+        /// The call whose response is cached.
         original: CallId,
-        /// The state that the caller carries to the next turn.
+        /// The state that the caller sends with the next turn.
         continuation: Box<Continuation>,
-        /// The permit for a next turn that may not be repeated.
+        /// The permit for a next turn that may not be repeated; `None` if none was issued.
         permit: Option<Box<Permit>>,
     },
-    /// A permit that was asked for.
+    /// The requested permit.
     Permit(Box<Permit>),
     /// The program has ended.
     Ended,
@@ -60,5 +60,5 @@
     }
 }
 
-/// The traffic side of the queue.
+/// The sending side of the control thread's input queue.
 pub(crate) type InputSender = knapweeddale_runtime::InputSender<Message>;
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: the only owner of the core's state.
+//! The entry daemon's side of the control thread, which alone owns the core's state.
 
 mod input;
 mod output_dispatcher;
--- a/crates/entry/src/control/output_dispatcher.rs
+++ b/crates/entry/src/control/output_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Hands the outputs of the core to those who carry them out.
+//! Dispatch of the core's outputs to the tasks that execute them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,10 +21,10 @@
 use crate::store::ViewRequest;
 use crate::upstream::ReleaseRequest;
 
-/// Addresses of VMs that are in no view; more than join or leave at once.
+/// Maximum number of addresses of VMs outside the view; more than join or leave at once.
 const MAX_NON_MEMBER_ADDRESSES: usize = 64;
 
-/// The receivers of outputs. Each has a bounded queue, and none is waited for.
+/// Dispatches the core's outputs to their receivers over bounded queues, without blocking.
 #[derive(Debug)]
 pub(crate) struct OutputDispatcher {
     pub vm: VmName,
@@ -38,21 +38,23 @@
     pub lease_until_us: Arc<AtomicU64>,
     pub metrics: Arc<Metrics>,
     pub calls: HashMap<CallId, mpsc::Sender<CallOutput>>,
-    /// Addresses as other VMs stated them; those that join or leave are in no view.
+    /// Addresses by which VMs can be reached, also of VMs that join or leave and so are in no view.
     pub addresses: HashMap<VmName, String>,
-    /// Inputs that follow from outputs which could not be handed over.
+    /// Inputs for the next tick that result from outputs which could not be delivered.
     pub pending_inputs: Vec<Input>,
 }
 
 /// # Calls
 impl OutputDispatcher {
-    /// Registers the receiver of a call's outputs.
+    /// Registers the channel for a call's outputs.
     pub fn open_call(&mut self, call: CallId, outputs: mpsc::Sender<CallOutput>) {
         self.calls.insert(call, outputs);
     }
 
-    /// Hands an output to a call. A call never has more outputs waiting than
-    /// its channel holds, so a failure means that its task has ended.
+    /// Sends an output to the task of a call.
+    ///
+    /// A call never has more pending outputs than its channel holds, so a failure means that its
+    /// task has ended.
     fn send_to_call(&mut self, call: CallId, output: CallOutput) {
         let Some(outputs) = self.calls.get(&call) else {
             return;
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Hands the last output to a call.
+    /// Sends the last output to the task of a call and removes the call.
     fn close_call(&mut self, call: CallId, output: CallOutput) {
         self.send_to_call(call, output);
         self.calls.remove(&call);
@@ -78,7 +80,7 @@
 
 /// # Outputs
 impl OutputDispatcher {
-    /// Carries one output to its receiver.
+    /// Sends one output to its receiver.
     fn dispatch_output(&mut self, output: Output, control: &Control, now_us: u64) {
         match output {
             Output::Dispatch(dispatch) => {
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Sends an order on its way; one that cannot be sent counts as unanswered.
+    /// Queues an order to an engine; if the queue is full, its result is unknown.
     fn send_order(&mut self, order: Order) {
         if let Err(error) = self.model_orders.try_send(order) {
             let order = error.into_inner();
@@ -165,23 +167,26 @@
         }
     }
 
-    /// Keeps a charge record.
+    /// Counts a charge and queues its record for the writer.
     fn record_charge(&mut self, charge: Charge) {
         self.metrics.count_charge(&charge);
         if let Err(error) = self.charges.try_send(charge) {
             let charge = error.into_inner();
             self.metrics.count_lost_charge();
-            tracing::error!("charges: lost the record of attempt {}", charge.attempt);
+            tracing::error!(
+                "charges: lost the record of attempt {}, the queue is full",
+                charge.attempt
+            );
         }
     }
 
-    /// Logs a decision.
+    /// Logs and counts a decision.
     fn log_decision(&self, decision: &Decision) {
         self.metrics.count_decision(decision);
         tracing::info!("{decision}");
     }
 
-    /// Publishes what traffic threads may know.
+    /// Publishes the lease, and the status if it has changed, to traffic threads.
     fn publish(&mut self, control: &Control, now_us: u64) {
         let remaining_us = control.tables().lease.remaining_us(now_us);
         let until_us = if remaining_us == 0 {
@@ -202,7 +207,7 @@
     }
 }
 
-/// # Loop
+/// # Control loop
 impl knapweeddale_runtime::OutputHandler for OutputDispatcher {
     type Message = Message;
 
@@ -261,21 +266,21 @@
 
 /// # Addresses
 impl OutputDispatcher {
-    /// Keeps the address that another VM stated.
+    /// Records the address of another VM.
     pub fn record_address(&mut self, vm: &VmName, address: &str) {
         if self.addresses.get(vm).is_none_or(|known| known != address) {
             self.addresses.insert(vm.clone(), address.to_owned());
         }
     }
 
-    /// Returns the address of another VM.
+    /// Returns the address of another VM; the view takes precedence over recorded addresses.
     fn find_address(&self, control: &Control, vm: &VmName) -> Option<String> {
         let member = control.tables().view.member(vm);
         let known = || self.addresses.get(vm).cloned();
         member.map(|row| row.address.clone()).or_else(known)
     }
 
-    /// Takes the addresses of a view, and forgets others once there are many.
+    /// Records the addresses of a view; drops all others if there are too many.
     fn update_addresses(&mut self, view: &View) {
         if self.addresses.len() > 2 * view.members.len() + MAX_NON_MEMBER_ADDRESSES {
             self.addresses.clear();
--- a/crates/entry/src/control/status.rs
+++ b/crates/entry/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What traffic threads may know of the control state.
+//! The part of the control state that is published to traffic threads.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 use knapweeddale_core::{AccountName, Control, FleetConfig, KeyId};
 use tokio::sync::watch;
 
-/// A copy of what changes rarely; the control thread replaces it on changes.
+/// A copy of control state that changes rarely; the control thread replaces it on a change.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Status {
-    /// The configuration in force.
+    /// The configuration in force; its revision is 0 until the first one arrives.
     pub fleet: Arc<FleetConfig>,
-    /// The view in force.
+    /// The view in force; its epoch is 0 until the first one arrives.
     pub view: Arc<View>,
-    /// Whether this VM has handed over everything and may end.
+    /// Whether this VM has handed over all its state, so that the process may end.
     pub has_left: bool,
 }
 
@@ -21,7 +21,7 @@
 pub(crate) type StatusReader = watch::Receiver<Status>;
 
 impl Status {
-    /// Returns whether the status is still that of the control value.
+    /// Returns whether the status still matches the control state.
     pub fn is_current(&self, control: &Control) -> bool {
         let tables = control.tables();
         self.fleet.revision == tables.fleet.revision
@@ -29,7 +29,7 @@
             && self.has_left == tables.membership.departure.has_left
     }
 
-    /// Copies the status from the control value.
+    /// Copies the status from the control state.
     pub fn from_control(control: &Control) -> Self {
         let tables = control.tables();
         Self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the account that a key belongs to, whether or not it is valid.
+    /// Returns the account that a key belongs to, even if the key was withdrawn.
     pub fn account_for_key(&self, key: &KeyId) -> Option<&AccountName> {
         let mut accounts = self.fleet.accounts.iter();
         let account = accounts.find(|account| account.keys.iter().any(|row| row.id == *key));
--- a/crates/entry/src/daemon/background.rs
+++ b/crates/entry/src/daemon/background.rs
@@ -1,4 +1,4 @@
-//! Tasks that end with the process.
+//! Background tasks, which run until the process ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use crate::store::{ViewRequest, poll_vms, serve_views, watch_config};
 use crate::upstream::{ReleaseRequest, poll_loads, serve_orders, serve_probes, serve_releases};
 
-/// Time between two updates of the counts of store calls.
+/// Interval at which the counts of store calls are copied to the metrics.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The queues of orders from the control thread.
+/// The receiving ends of the control thread's queues to background tasks.
 pub(super) struct OutputQueues {
     pub view_requests: mpsc::Receiver<ViewRequest>,
     pub release_requests: mpsc::Receiver<ReleaseRequest>,
@@ -27,7 +27,7 @@
     pub model_orders: mpsc::Receiver<Order>,
 }
 
-/// Starts the tasks that end with the process.
+/// Starts the background tasks, which run until the process ends.
 pub(super) fn start<A: ObjectApi, C: Clock>(
     api: &Arc<Counted<A>>,
     shared: &Arc<SharedState<C>>,
--- a/crates/entry/src/daemon/channels.rs
+++ b/crates/entry/src/daemon/channels.rs
@@ -1,4 +1,4 @@
-//! The queues from the control thread to those who carry out its outputs.
+//! The queues between the control thread and the tasks that execute its outputs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,34 +13,34 @@
 use crate::front::SharedState;
 use knapweeddale_runtime::Clock;
 
-/// Orders about the view that may wait; the core has few of them at a time.
+/// Capacity of the queue of view requests; the core has few of them at a time.
 const VIEW_QUEUE_LEN: usize = 32;
 
-/// Releases of engine memory that may wait; the core repeats those dropped.
+/// Capacity of the queue of engine memory releases; the core repeats those dropped.
 const RELEASE_QUEUE_LEN: usize = 4_096;
 
-/// Probes that may wait; there is one for each broken connection.
+/// Capacity of the probe queue; there is one probe for each broken connection.
 const PROBE_QUEUE_LEN: usize = 1_024;
 
-/// Orders to engines that may wait; one for each engine of the services of one VM.
+/// Capacity of the queue of orders to engines; one for each engine of the services of one VM.
 const ORDER_QUEUE_LEN: usize = 1_024;
 
-/// Charge records that may wait for the writer, a second of traffic at the
-/// rate that a VM decides at most.
+/// Capacity of the queue of charge records for the writer: one second of traffic at the highest
+/// rate of decisions of a VM.
 const CHARGE_QUEUE_LEN: usize = 100_000;
 
-/// Both ends of the queues.
+/// Both ends of the control thread's output queues.
 pub(super) struct OutputChannels {
-    /// The ends of the control thread.
+    /// The dispatcher, with the sending ends.
     pub dispatcher: OutputDispatcher,
-    /// The orders to background tasks.
+    /// The receiving ends for background tasks.
     pub queues: OutputQueues,
-    /// The charge records.
+    /// The receiving end for the writer of charge records.
     pub charges: mpsc::Receiver<Charge>,
 }
 
 impl OutputChannels {
-    /// Makes all queues.
+    /// Creates all queues.
     pub fn new<C: Clock>(shared: &SharedState<C>, status: watch::Sender<Status>) -> Self {
         let (view_requests, view_queue) = mpsc::channel(VIEW_QUEUE_LEN);
         let (release_requests, release_queue) = mpsc::channel(RELEASE_QUEUE_LEN);
--- a/crates/entry/src/daemon/error.rs
+++ b/crates/entry/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the start.
+//! Startup errors.
 
 use derive_more::{Display, Error, From};
 use knapweeddale_token::SecretError;
@@ -6,23 +6,23 @@
 /// The daemon cannot start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// The secret of the fleet cannot be read.
+    /// The file with the fleet secret cannot be read.
     #[display("secret_file {file} cannot be read ({source}); create it with 32 random bytes")]
     #[from(skip)]
     SecretFile {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What is wrong.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The secret of the fleet cannot be used.
+    /// The fleet secret is invalid, for example too short.
     #[display("{_0}")]
     Secret(SecretError),
-    /// The HTTP client of upstreams cannot be set up.
-    #[display("the client of upstreams cannot be set up ({_0})")]
+    /// The HTTP client for upstreams cannot be created.
+    #[display("the HTTP client for upstreams cannot be created ({_0})")]
     Client(reqwest::Error),
-    /// The metrics are inconsistent.
-    #[display("the metrics are inconsistent ({_0})")]
+    /// The metrics cannot be registered.
+    #[display("the metrics cannot be registered ({_0})")]
     Metrics(prometheus::Error),
     /// The listener for other VMs or the control thread cannot be started.
     #[display("{_0}; check `peer_listen`")]
--- a/crates/entry/src/daemon/mod.rs
+++ b/crates/entry/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: starts all parts and stops them without cutting calls.
+//! The daemon: starts all parts, and stops them without interrupting calls.
 
 mod background;
 mod channels;
@@ -44,13 +44,13 @@
     control: JoinHandle<()>,
     server: Server,
     charges: tokio::task::JoinHandle<()>,
-    /// Tasks that end with the process.
+    /// Tasks that run until the process ends.
     background: JoinSet<()>,
     drain_notice: Duration,
     drain_timeout: Duration,
 }
 
-/// Reads the secret of the fleet.
+/// Reads the fleet secret from the file that the settings name.
 ///
 /// # Errors
 ///
@@ -68,7 +68,7 @@
 
 /// # Start
 impl<C: Clock> Daemon<C> {
-    /// Starts all parts.
+    /// Starts all parts and returns once the HTTP server listens.
     ///
     /// # Errors
     ///
@@ -82,7 +82,7 @@
         let api = Arc::new(Counted::new(api));
         let listener = TcpListener::bind(settings.peer_listen).await?;
         let mut core = settings.to_core(new_incarnation());
-        // The system chooses the port if the settings leave it open.
+        // If the settings have port 0, the operating system chooses the port.
         core.address = listener.local_addr()?.to_string();
         let (inputs, queue) = input_queue(settings.input_queue_len);
         let (status_sender, status) = watch::channel(Status::default());
@@ -92,7 +92,7 @@
             request: StoreRequest::Read,
             now_us: clock.now_us(),
         };
-        // The queue is empty, so that there is room.
+        // Cannot fail: the queue is empty.
         let _ = channels.dispatcher.view_requests.try_send(first_read);
         let writer = ChargeWriter::new(
             Arc::clone(&api),
@@ -126,7 +126,7 @@
     }
 }
 
-/// Makes what all requests share.
+/// Creates the state that all requests share.
 fn build_shared_state<C: Clock>(
     settings: &Settings,
     core: &CoreSettings,
@@ -163,26 +163,26 @@
 
 /// # Observation
 impl<C: Clock> Daemon<C> {
-    /// Returns the address that callers reach.
+    /// Returns the address on which the daemon serves callers.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Returns the address that other VMs reach.
+    /// Returns the address on which the daemon listens for other VMs.
     pub fn peer_address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Waits until the VM is configured, a member and under lease.
+    /// Waits until the VM has a configuration, is a member and holds a lease.
     pub async fn wait_until_ready(&self) {
         let mut status = self.shared.status.clone();
         while !self.shared.unready_reasons().is_empty() {
-            // The lease is no part of the status, so the wait is short as well.
+            // The status does not include the lease, so it is also checked every 10 ms.
             let _ = timeout(Duration::from_millis(10), status.changed()).await;
         }
     }
 
-    /// Returns what lists the calls that a forced end cuts.
+    /// Returns a handle that lists the calls in flight, for logging at a forced end.
     pub fn unfinished_calls(&self) -> UnfinishedCalls {
         UnfinishedCalls(self.shared.in_flight.clone())
     }
--- a/crates/entry/src/daemon/server.rs
+++ b/crates/entry/src/daemon/server.rs
@@ -14,25 +14,27 @@
 use crate::front::{self, SharedState};
 use knapweeddale_runtime::Clock;
 
-/// Longest wait for the server to close its connections.
+/// Timeout for the server to close its connections.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running HTTP server.
 #[derive(Debug)]
 pub(super) struct Server {
-    /// The address that callers reach.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// The switch that stops it.
+    /// Handle that starts the shutdown.
     shutdown: Shutdown,
     task: JoinHandle<Result<Rocket<Ignite>, rocket::Error>>,
 }
 
 impl Server {
-    /// Stops the server once its connections are done, and waits for that.
+    /// Starts the shutdown and waits until the connections are closed.
     pub async fn stop(self) {
         self.shutdown.notify();
         if timeout(STOP_TIMEOUT, self.task).await.is_err() {
-            tracing::warn!("membership: connections of callers are still open");
+            tracing::warn!(
+                "membership: connections of callers are still open after {STOP_TIMEOUT:?}"
+            );
         }
     }
 }
@@ -46,7 +48,7 @@
     let liftoff = AdHoc::on_liftoff("address", move |rocket| {
         Box::pin(async move {
             let config = rocket.config();
-            // The receiver waits until the server listens.
+            // Cannot fail: the receiver is awaited below.
             let _ = sender.send(SocketAddr::new(config.address, config.port));
         })
     });
--- a/crates/entry/src/store/charges.rs
+++ b/crates/entry/src/store/charges.rs
@@ -1,4 +1,4 @@
-//! Charge records on their way to the store.
+//! Writer of charge records to the store.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -13,17 +13,17 @@
 
 use crate::metrics::Metrics;
 
-/// Longest time that a record waits for its batch.
+/// Maximum time that a record waits until its batch is written.
 const BATCH_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Largest batch; the store takes values of up to one megabyte.
+/// Maximum size of a batch; the store accepts values of up to one megabyte.
 const MAX_BATCH_BYTES: usize = 900_000;
 
-/// Bytes of batches kept in memory while the store is down: at 300 bytes a
-/// record, 300 calls a second for six minutes.
+/// Maximum size of the batches queued in memory while the store is unavailable: at 300 bytes per
+/// record, six minutes of 300 calls per second.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 
-/// A charge record as it is stored, one JSON object a line.
+/// A charge record as it is stored, one JSON object per line.
 #[derive(Debug, Serialize)]
 struct Record<'a> {
     call: String,
@@ -54,14 +54,14 @@
     }
 }
 
-/// Writes charge records in batches.
+/// Writes charge records to the store in batches.
 #[derive(Debug)]
 pub(crate) struct ChargeWriter<A> {
     api: Arc<A>,
     prefix: String,
     next_batch: u64,
     open_batch: Vec<u8>,
-    /// Batches that are not stored yet, with their key.
+    /// Batches that are not stored yet, with their keys; oldest first.
     queued: VecDeque<(String, Vec<u8>)>,
     queued_bytes: usize,
     data_folder: Option<PathBuf>,
@@ -70,7 +70,7 @@
 }
 
 impl<A: ObjectApi> ChargeWriter<A> {
-    /// Makes a writer for one start of a VM.
+    /// Creates the writer for one incarnation of a VM.
     pub fn new(
         api: Arc<A>,
         vm: &str,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Writes records until the control thread ends, then what is left.
+    /// Writes records until the control thread ends, then flushes the rest.
     pub async fn run(mut self, mut charges: mpsc::Receiver<Charge>) {
         self.load_saved();
         let mut flush_at = Instant::now() + BATCH_INTERVAL;
@@ -119,7 +119,7 @@
         }
         if !self.flush().await {
             let left = self.queued.len();
-            tracing::error!("charges: {left} batches are not stored; the store did not answer");
+            tracing::error!("charges: {left} batches are not stored; the store is unavailable");
         }
     }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Closes the open batch and stores all batches; returns whether none is left.
+    /// Closes the open batch and writes all batches; returns whether all were stored.
     async fn flush(&mut self) -> bool {
         if !self.open_batch.is_empty() {
             let key = format!("{}/{}", self.prefix, self.next_batch);
@@ -141,7 +141,7 @@
         while let Some((key, batch)) = self.queued.front() {
             match self.api.put(key, batch.clone(), 0).await {
                 Ok(_) => {}
-                // Only this process writes the key, so an earlier write took effect.
+                // Only this process writes the key, so an earlier write has succeeded.
                 Err(StoreError::Conflict { .. }) => {}
                 Err(error) => {
                     tracing::warn!("charges: {error}");
@@ -157,7 +157,7 @@
         true
     }
 
-    /// Keeps a batch until it is stored; the oldest ones give way when there are too many.
+    /// Queues a batch; drops the oldest ones if the queue exceeds its size limit.
     fn enqueue(&mut self, key: String, batch: Vec<u8>) {
         self.queued_bytes += batch.len();
         self.queued.push_back((key, batch));
@@ -167,20 +167,22 @@
             };
             self.queued_bytes -= batch.len();
             self.metrics.count_lost_charge();
-            tracing::error!("charges: dropped batch {key} from memory; the store is down too long");
+            tracing::error!(
+                "charges: dropped batch {key} from memory; more than {MAX_QUEUED_BYTES} bytes wait for the store"
+            );
         }
     }
 }
 
 /// # Data folder
 impl<A> ChargeWriter<A> {
-    /// Returns the file of a batch.
+    /// Returns the path of a batch's file; `None` without a data folder.
     fn batch_file(&self, key: &str) -> Option<PathBuf> {
         let name = format!("{}.jsonl", key.replace('/', "+"));
         Some(self.data_folder.as_ref()?.join(name))
     }
 
-    /// Writes the batches in memory to the data folder.
+    /// Writes the queued batches to the data folder, except those that are there already.
     fn save_queued(&self) {
         for (key, batch) in &self.queued {
             let Some(file) = self.batch_file(key).filter(|file| !file.exists()) else {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Reads batches that an earlier start left in the data folder.
+    /// Queues the batches that an earlier process left in the data folder.
     fn load_saved(&mut self) {
         let Some(folder) = &self.data_folder else {
             return;
@@ -210,10 +212,10 @@
         }
     }
 
-    /// Removes the file of a batch that is stored.
+    /// Removes the file of a batch after it was stored.
     fn remove_saved(&self, key: &str) {
         if let Some(file) = self.batch_file(key) {
-            // Most batches were never saved.
+            // Fails for most batches, which were never saved to a file.
             let _ = std::fs::remove_file(file);
         }
     }
--- a/crates/entry/src/store/config.rs
+++ b/crates/entry/src/store/config.rs
@@ -1,4 +1,4 @@
-//! The watch of the published configuration.
+//! Watch of the published configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 
 use crate::control::InputSender;
 
-/// How long one watch waits for a change. A watch that has gone silent is
-/// reopened after this time, which bounds how late a change is noticed.
+/// Time after which a watch without a change is reopened. Bounds how late a change is noticed if
+/// the watch has silently failed.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Watches the configuration until the process ends.
@@ -30,7 +30,7 @@
             }
             Err(error) => {
                 tracing::warn!("config: {error}");
-                // The next call reads the object instead of trusting the watch.
+                // Read the object next time, since the watch may have missed a change.
                 known_version = None;
                 tokio::time::sleep(backoff.next_wait()).await;
             }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads the configuration, or waits for one newer than the known version.
+/// Reads the configuration, or waits for a newer one than the known version.
 async fn read_or_watch<A: ObjectApi>(
     api: &A,
     known_version: Option<u64>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Hands a configuration that passes all checks to the core.
+/// Sends a configuration to the core if it passes all checks.
 async fn submit_config(object: &Object, inputs: &InputSender) {
     let revision = object.version;
     let document = match Document::from_bytes(&object.value) {
--- a/crates/entry/src/store/mod.rs
+++ b/crates/entry/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Tasks that exchange state with the platform's object API.
+//! Tasks that read from and write to the platform's object API.
 
 mod charges;
 mod config;
--- a/crates/entry/src/store/view.rs
+++ b/crates/entry/src/store/view.rs
@@ -1,4 +1,4 @@
-//! Reads and writes of the view.
+//! Reads and writes of the view in the store.
 
 use std::sync::Arc;
 
@@ -13,16 +13,16 @@
 /// A request of the core about the view.
 #[derive(Debug)]
 pub(crate) struct ViewRequest {
-    /// The request.
+    /// The operation: read, write or touch.
     pub request: StoreRequest,
-    /// When the core made it.
+    /// Time of the tick in which the core made the request.
     pub now_us: u64,
 }
 
-/// Carries out requests about the view until the process ends.
+/// Executes requests about the view until the process ends.
 ///
-/// Each runs in its own task: a touch that waits for a slow store must not
-/// hold up the read that follows it.
+/// Each request runs in its own task, so that a touch waiting for a slow store does not delay the
+/// read that follows it.
 pub(crate) async fn serve_views<A: ObjectApi>(
     api: Arc<A>,
     mut requests: mpsc::Receiver<ViewRequest>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Carries out one request.
+/// Executes one request and returns its result.
 async fn handle_request<A: ObjectApi>(api: &A, view_request: ViewRequest) -> StoreEvent {
     let result = match view_request.request {
         StoreRequest::Read => read_view(api).await,
@@ -62,7 +62,7 @@
     result.unwrap_or_else(|error| error_event(&error))
 }
 
-/// Reads the view.
+/// Reads the view; an invalid one counts as unavailable.
 async fn read_view<A: ObjectApi>(api: &A) -> Result<StoreEvent, StoreError> {
     let Some(object) = api.get(VIEW_KEY).await? else {
         return Ok(StoreEvent::ViewRead(None));
@@ -79,7 +79,7 @@
     }
 }
 
-/// Writes the view.
+/// Writes the view if the stored version is `version`; returns the new version.
 async fn write_view<A: ObjectApi>(api: &A, view: &View, version: u64) -> Result<u64, StoreError> {
     let value = serde_json::to_vec(view).map_err(|error| StoreError::Unavailable {
         reason: error.to_string(),
@@ -87,7 +87,7 @@
     api.put(VIEW_KEY, value, version).await
 }
 
-/// Converts an error to an input of the core.
+/// Converts a store error to an event for the core.
 fn error_event(error: &StoreError) -> StoreEvent {
     tracing::debug!("membership: {error}");
     match error {
--- a/crates/entry/src/store/vms.rs
+++ b/crates/entry/src/store/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs.
+//! Polling of the platform's list of VMs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use crate::control::{InputSender, StatusReader};
 
-/// Time between reads by a writer of the view, who acts on the list.
+/// Polling interval of a writer of the view, which acts on the list.
 const WRITER_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between reads by other VMs, for each member of the view. The fleet
-/// makes four reads a second at any size.
+/// Polling interval of other VMs per member of the view, so that the fleet makes four reads per
+/// second at any size.
 const INTERVAL_PER_MEMBER: Duration = Duration::from_millis(250);
 
-/// Reads the list of VMs until the process ends.
+/// Polls the list of VMs until the process ends.
 pub(crate) async fn poll_vms<A: ObjectApi>(
     api: Arc<A>,
     vm: VmName,
@@ -33,7 +33,7 @@
                 });
                 inputs.send_input(Input::VmList(vms.collect())).await;
             }
-            Err(error) => tracing::debug!("membership: no list of VMs, {error}"),
+            Err(error) => tracing::debug!("membership: cannot read the list of VMs, {error}"),
         }
         let wait = {
             let status = status.borrow();
