--- a/crates/entry/src/bin/knapweeddale-entry.rs
+++ b/crates/entry/src/bin/knapweeddale-entry.rs
@@ -1,4 +1,4 @@
-//! The entry daemon.
+//! The entry daemon's binary.
 
 use std::process::ExitCode;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Does what the command line asks for.
+/// Prints or checks the settings, or runs the daemon.
 fn run(options: &Options) -> Result<ExitCode, Box<dyn std::error::Error>> {
     let settings = Settings::load(&options.settings)?;
     if options.print_settings {
@@ -35,7 +35,8 @@
     runtime.block_on(serve(settings, secret))
 }
 
-/// Serves until a signal arrives; a second one ends the process at once.
+/// Runs the daemon until a signal arrives, then shuts down gracefully; a second signal ends the
+/// process at once.
 async fn serve(
     settings: Settings,
     secret: Vec<u8>,
@@ -55,7 +56,7 @@
     }
 }
 
-/// Waits for a request to stop.
+/// Waits for SIGTERM or SIGINT.
 async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
--- a/crates/entry/src/front/canonical.rs
+++ b/crates/entry/src/front/canonical.rs
@@ -1,16 +1,16 @@
-//! The form of a message whose digest is signed.
+//! Canonical form of messages, which is the input of the signed history digest.
 
 use serde_json::Value;
 
-/// Returns the canonical form of a message: keys in order, and no fields that
-/// are null or empty, since callers add and leave out such fields at will.
+/// Returns the canonical form of a message: keys are sorted, and top-level fields that are null or
+/// empty are left out, because callers may add or omit such fields when they repeat a message.
 pub(crate) fn canonical_message(message: &Value) -> Vec<u8> {
     let mut text = Vec::new();
     write_canonical(message, true, &mut text);
     text
 }
 
-/// Appends a value; empty fields are left out of the outermost object only.
+/// Appends a value; null and empty fields are left out only of the outermost object.
 fn write_canonical(value: &Value, is_outermost: bool, text: &mut Vec<u8>) {
     match value {
         Value::Object(fields) => {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns whether a field says nothing.
+/// Returns whether a value is null, an empty string or an empty list.
 fn is_empty(field: &Value) -> bool {
     match field {
         Value::Null => true,
--- a/crates/entry/src/front/completions.rs
+++ b/crates/entry/src/front/completions.rs
@@ -19,23 +19,23 @@
 use crate::upstream::UpstreamRequest;
 use knapweeddale_runtime::Clock;
 
-/// The path of completions, at knapweeddale and at engines.
+/// The path of completions, both of knapweeddale and of engines.
 pub(crate) const PATH: &str = "/v1/chat/completions";
 
-/// Tokens of the response when the caller names no limit.
+/// Maximum tokens of the response if the caller sets no limit.
 const DEFAULT_MAX_TOKENS: u64 = 1_024;
 
-/// Bytes of a message for each token. Common tokenizers take 3 to 5 bytes of
-/// text for a token; the lower end makes a reservation rather too large.
+/// Bytes of a message per token, for estimates. Common tokenizers need 3 to 5 bytes of text per
+/// token; the lower bound makes a reservation too large rather than too small.
 const BYTES_PER_TOKEN: usize = 3;
 
-/// Tokens that engines add to each message for its role and limits.
+/// Tokens that engines add to each message for its role and delimiters.
 const TOKENS_PER_MESSAGE: u64 = 8;
 
-/// Headers of callers that engines see.
+/// Headers of callers that are forwarded to engines.
 const ENGINE_HEADERS: [&str; 3] = ["traceparent", "tracestate", "x-request-id"];
 
-/// The parts of a request body that routing needs.
+/// A parsed request body, with the values that routing needs.
 #[derive(Debug)]
 struct Body {
     fields: Map<String, Value>,
@@ -43,12 +43,12 @@
     stream: bool,
     max_tokens: u64,
     prompt_tokens: u64,
-    /// The digest after each message.
+    /// The digest chain before the first message and after each message.
     history: Vec<HistoryChain>,
 }
 
 impl<C: Clock> SharedState<C> {
-    /// Runs a completion.
+    /// Handles a completion request.
     pub async fn run_completion(
         self: &Arc<Self>,
         id: CallId,
@@ -104,7 +104,7 @@
 }
 
 impl Body {
-    /// Reads and checks a body.
+    /// Parses and validates a request body.
     fn parse(raw: &[u8]) -> Result<Self, FrontError> {
         let fields: Map<String, Value> =
             serde_json::from_slice(raw).map_err(|e| malformed("", &format!("not JSON ({e})")))?;
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Checks that the messages start with those that the continuation signs.
+    /// Checks that the messages start with the history that the continuation signs.
     fn check_history(&self, program: &ProgramTurn) -> Result<(), FrontError> {
         let Some(continuation) = &program.continuation else {
             return Ok(());
@@ -156,7 +156,7 @@
         Err(FrontError::new(RefusalKind::HistoryMismatch, detail))
     }
 
-    /// Returns the kind of the call.
+    /// Returns the kind of the call, with the data that its task needs.
     fn call_kind(&self) -> CallKind {
         CallKind::Engine {
             stream: self.stream,
@@ -165,8 +165,9 @@
         }
     }
 
-    /// Returns the body for engines. They always stream, because only a stream
-    /// shows in time that a connection has gone silent.
+    /// Encodes the body for engines.
+    ///
+    /// Engines always stream, because only a stream reveals a silent connection in time.
     fn encode_for_engine(&self) -> Vec<u8> {
         let mut fields = self.fields.clone();
         fields.insert("stream".to_owned(), json!(true));
@@ -178,7 +179,7 @@
     }
 }
 
-/// Reads the highest number of tokens of the response.
+/// Reads the token limit of the response.
 fn read_max_tokens(fields: &Map<String, Value>) -> Result<u64, FrontError> {
     let names = ["max_completion_tokens", "max_tokens"];
     let field = names
@@ -193,13 +194,13 @@
     }
 }
 
-/// Makes the error of a field.
+/// Creates the error for a malformed field, or for the whole body if `field` is empty.
 fn malformed(field: &str, fault: &str) -> FrontError {
     let field = if field.is_empty() { "the body" } else { field };
     FrontError::malformed(format!("{field} is {fault}"))
 }
 
-/// Returns the headers that engines see.
+/// Returns the headers to send to engines.
 fn engine_headers(forwarded: &HeaderMap) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for name in ENGINE_HEADERS {
--- a/crates/entry/src/front/headers.rs
+++ b/crates/entry/src/front/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of callers.
+//! Parsing of request headers.
 
 use knapweeddale_core::input::{Continuation, Permit};
 use knapweeddale_core::{PresentedKey, ProgramName, ProgramTurn, RefusalKind};
@@ -12,32 +12,32 @@
 use knapweeddale_runtime::Clock;
 use knapweeddale_runtime::random_u64;
 
-/// Largest sum of all headers. Continuation and permit take 1 KB at most.
+/// Maximum total size of the headers. Continuation and permit take at most 1 KB.
 const MAX_HEADER_BYTES: usize = 16 * 1024;
 
-/// Longest name of a program.
+/// Maximum length of a program name.
 const MAX_PROGRAM_BYTES: usize = 200;
 
-/// What the headers of a caller say.
+/// The parsed headers of a request.
 #[derive(Debug)]
 pub(crate) struct CallerHeaders {
-    /// The key.
+    /// The key in `authorization`.
     pub key: Option<CallerKey>,
-    /// The program and turn.
+    /// The program, turn and continuation; `None` for a call outside a program.
     pub program: Option<ProgramTurn>,
-    /// The permit.
+    /// The permit for a turn that may not be repeated.
     pub permit: Option<Permit>,
-    /// What upstreams may see.
+    /// The headers that may be forwarded to upstreams.
     pub forwarded: HeaderMap,
 }
 
 impl CallerHeaders {
-    /// Returns the key as the core knows it.
+    /// Returns the key in the form that the core checks.
     pub fn presented_key(&self) -> Option<PresentedKey> {
         self.key.as_ref().map(CallerKey::presented)
     }
 
-    /// Refuses a text that holds the caller's key, since upstreams would see it.
+    /// Returns an error if a text that upstreams receive contains the caller's key.
     pub fn reject_exposed_key(&self, part: &str, text: &[u8]) -> Result<(), FrontError> {
         let Some(key) = &self.key else {
             return Ok(());
@@ -52,7 +52,7 @@
 }
 
 impl<C: Clock> SharedState<C> {
-    /// Reads the headers of a caller.
+    /// Parses the headers of a request.
     pub fn read_headers(&self, request: &Request<'_>) -> Result<CallerHeaders, FrontError> {
         check_header_size(request)?;
         let key = read_key(request)?;
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Reads program, turn and continuation.
+    /// Parses program, turn and continuation.
     fn read_program(
         &self,
         request: &Request<'_>,
@@ -101,7 +101,7 @@
         }))
     }
 
-    /// Reads a continuation and checks that it belongs to the program.
+    /// Verifies a continuation and checks that it belongs to the program.
     pub fn read_continuation(
         &self,
         text: &str,
@@ -119,7 +119,7 @@
         Ok(continuation)
     }
 
-    /// Reads a permit and checks that it belongs to the program.
+    /// Verifies a permit and checks that it belongs to the program.
     fn read_permit(&self, text: &str, program: Option<&ProgramTurn>) -> Result<Permit, FrontError> {
         let permit: Permit = self.signer.verify(text).map_err(FrontError::malformed)?;
         let is_own = |turn: &ProgramTurn| turn.name == permit.program.name;
@@ -131,7 +131,7 @@
     }
 }
 
-/// Refuses headers that are too large together.
+/// Returns an error if the total size of the headers exceeds the limit.
 pub(crate) fn check_header_size(request: &Request<'_>) -> Result<(), FrontError> {
     let headers = request.headers().iter();
     let bytes: usize = headers
@@ -144,7 +144,7 @@
     Ok(())
 }
 
-/// Reads the key.
+/// Parses the key in `authorization`.
 pub(crate) fn read_key(request: &Request<'_>) -> Result<Option<CallerKey>, FrontError> {
     let Some(header) = request.headers().get_one("authorization") else {
         return Ok(None);
@@ -160,7 +160,7 @@
         .map_err(|error| unknown(format!("{error}")))
 }
 
-/// Reads the name of a program.
+/// Parses and validates the name of a program.
 pub(crate) fn read_program_name(
     name: &str,
     key: Option<&CallerKey>,
@@ -192,7 +192,7 @@
     Err(FrontError::malformed(detail))
 }
 
-/// Returns the headers that upstreams may see, with a trace context.
+/// Builds the headers to forward to upstreams; adds a trace context if there is none.
 fn build_forwarded_headers(request: &Request<'_>, key: Option<&CallerKey>) -> HeaderMap {
     let headers: Vec<(String, String)> = request
         .headers()
--- a/crates/entry/src/front/health.rs
+++ b/crates/entry/src/front/health.rs
@@ -8,12 +8,12 @@
 use knapweeddale_runtime::Clock;
 
 impl<C: Clock> SharedState<C> {
-    /// Says that the process answers requests.
+    /// Reports that the process answers requests.
     pub fn health_response(&self) -> Reply {
         Reply::json(200, &json!({"healthy": true}))
     }
 
-    /// Says whether the load balancer should send calls.
+    /// Reports whether the load balancer should send calls, and the reasons if it should not.
     pub fn readiness_response(&self) -> Reply {
         let reasons = self.unready_reasons();
         let status = if reasons.is_empty() { 200 } else { 503 };
@@ -21,7 +21,7 @@
         Reply::json(status, &body)
     }
 
-    /// Returns what the operator command shows of a VM.
+    /// Returns the state of this VM, for the operator command.
     pub fn state_response(&self) -> Reply {
         let status = self.status.borrow().clone();
         let members = status.view.members.iter();
@@ -35,7 +35,7 @@
         Reply::json(200, &body)
     }
 
-    /// Returns all metrics.
+    /// Returns all metrics in the Prometheus text format.
     pub fn metrics_response(&self) -> Reply {
         self.metrics.set_peer_counts(&self.peer_counts.snapshot());
         match self.metrics.to_text() {
--- a/crates/entry/src/front/mod.rs
+++ b/crates/entry/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The front end for callers, over HTTP.
+//! The HTTP front end for callers.
 
 mod canonical;
 mod completions;
--- a/crates/entry/src/front/programs.rs
+++ b/crates/entry/src/front/programs.rs
@@ -17,13 +17,13 @@
 use crate::control::{CallOutput, Message};
 use knapweeddale_runtime::Clock;
 
-/// Largest body of a request about a program.
+/// Maximum size of the body of a request about a program.
 const MAX_BODY_BYTES: u64 = 4_096;
 
-/// The place of the program's name among the segments of the path.
+/// Index of the path segment with the program's name.
 const NAME_SEGMENT: usize = 2;
 
-/// The body of a request for a permit.
+/// The JSON body of a permit request.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PermitBody {
@@ -31,7 +31,7 @@
 }
 
 impl<C: Clock> SharedState<C> {
-    /// Issues a permit for a turn that may not be repeated.
+    /// Handles a request for a permit for a turn that may not be repeated.
     pub async fn issue_permit(
         &self,
         id: CallId,
@@ -46,7 +46,7 @@
         self.send_program_request(id, request, kind).await
     }
 
-    /// Ends a program.
+    /// Handles a request to end a program.
     pub async fn end_program(
         &self,
         id: CallId,
@@ -56,7 +56,7 @@
             .await
     }
 
-    /// Hands a request about a program to the core and waits for the answer.
+    /// Sends a request about a program to the core and waits for the response.
     async fn send_program_request(
         &self,
         id: CallId,
@@ -91,7 +91,7 @@
         ))
     }
 
-    /// Converts the answer of the core to a response.
+    /// Converts an output of the core to a response; `None` means that the control thread has ended.
     fn program_reply(&self, id: CallId, output: Option<CallOutput>) -> Reply {
         match output {
             Some(CallOutput::Permit(permit)) => {
--- a/crates/entry/src/front/refuse.rs
+++ b/crates/entry/src/front/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals by the front end, before the core sees a call.
+//! Refusals by the front end, before a call reaches the core.
 
 use knapweeddale_core::{CallId, Decision, Execution, Refusal, RefusalKind};
 
@@ -6,7 +6,7 @@
 use crate::call::Reply;
 use knapweeddale_runtime::Clock;
 
-/// Why the front end refuses a request.
+/// The reason why the front end refuses a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct FrontError {
     kind: RefusalKind,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The request cannot be read.
+    /// Creates the error for a request that cannot be parsed.
     pub fn malformed(detail: impl ToString) -> Self {
         Self::new(RefusalKind::Malformed, detail)
     }
 
-    /// The queue to the control thread is full.
+    /// Creates the error for a full input queue of the control thread.
     pub fn overloaded() -> Self {
         Self {
             kind: RefusalKind::Overloaded,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The VM is stopping.
+    /// Creates the error for a new program while the VM is stopping.
     pub fn draining() -> Self {
         Self {
             kind: RefusalKind::Draining,
@@ -48,7 +48,7 @@
 }
 
 impl<C: Clock> SharedState<C> {
-    /// Logs and counts a refusal and returns the response.
+    /// Logs and counts a refusal, and returns its response.
     pub fn refuse_request(&self, call: CallId, error: &FrontError) -> Reply {
         let refusal = Refusal {
             call,
--- a/crates/entry/src/front/respond.rs
+++ b/crates/entry/src/front/respond.rs
@@ -1,4 +1,4 @@
-//! Responses of the front end.
+//! Conversion of responses to those of the HTTP server.
 
 use std::io::Cursor;
 use std::time::Duration;
@@ -14,18 +14,18 @@
 
 use crate::call::{EVENT_STREAM, InFlightGuard, Reply, ReplyPart};
 
-/// Silence after which a comment is sent. The server notices only when it
-/// writes that a caller has disconnected.
+/// Time without events after which a comment is sent. The server notices only on a write that a
+/// caller has disconnected.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An event that clients ignore.
+/// A comment, which clients ignore.
 const HEARTBEAT_EVENT: &[u8] = b": waiting\n\n";
 
 /// A response to a caller.
 pub(crate) enum CallerResponse {
     /// A whole response.
     Whole(Reply),
-    /// A stream of events; the guard lasts until its end.
+    /// A stream of events; the guard keeps the call in flight until its end.
     Events {
         call: String,
         parts: mpsc::Receiver<ReplyPart>,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns a whole response.
+/// Builds a whole response of the HTTP server.
 fn build_whole_response<'r>(reply: Reply) -> Response<'r> {
     let mut response = Response::build();
     response.status(Status::new(reply.status));
@@ -61,7 +61,7 @@
     response.finalize()
 }
 
-/// Returns the next chunk of a stream.
+/// Returns the next chunk of a stream, or a comment if none arrives in time.
 async fn next_chunk(
     (mut parts, guard): (mpsc::Receiver<ReplyPart>, InFlightGuard),
 ) -> Option<(Bytes, (mpsc::Receiver<ReplyPart>, InFlightGuard))> {
--- a/crates/entry/src/front/routes.rs
+++ b/crates/entry/src/front/routes.rs
@@ -20,7 +20,7 @@
 use crate::call::Reply;
 use knapweeddale_runtime::Clock;
 
-/// The methods of plain services.
+/// The HTTP methods that are routed to plain services.
 const SERVICE_METHODS: [Method; 7] = [
     Method::Get,
     Method::Head,
@@ -31,7 +31,7 @@
     Method::Options,
 ];
 
-/// What a route does.
+/// The operation of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Endpoint {
     Complete,
@@ -45,7 +45,7 @@
     Metrics,
 }
 
-/// The handler of a route.
+/// The handler of one endpoint.
 struct EndpointHandler<C> {
     shared: Arc<SharedState<C>>,
     endpoint: Endpoint,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Builds the server. Its own handling of signals is off: it would cut streams.
+/// Builds the server. Its signal handling is disabled because it would interrupt streams.
 pub(crate) fn build<C: Clock>(listen: SocketAddr, shared: &Arc<SharedState<C>>) -> Rocket<Build> {
     let config = Config {
         address: listen.ip(),
@@ -121,13 +121,13 @@
         routes.push(route(method, path, Endpoint::Service));
     }
     rocket::custom(config)
-        // The default headers concern browsers, which are no callers.
+        // The default security headers apply to browsers, which are not among the callers.
         .attach(Shield::new())
         .mount("/", routes)
         .register("/", vec![Catcher::new(None, catch_unrouted)])
 }
 
-/// Answers requests that match no route or that the server cannot read.
+/// Responds to requests that match no route or that the server cannot parse.
 fn catch_unrouted<'r>(status: Status, request: &'r Request<'_>) -> BoxFuture<'r> {
     let (kind, remedy) = match status.code {
         404 | 405 => ("route_unknown", "see docs/api.md for the routes"),
--- a/crates/entry/src/front/services.rs
+++ b/crates/entry/src/front/services.rs
@@ -17,14 +17,14 @@
 use crate::upstream::UpstreamRequest;
 use knapweeddale_runtime::Clock;
 
-/// The start of the paths of plain services.
+/// Path prefix of plain services.
 const PREFIX: &str = "/services/";
 
-/// Longest time for a caller to send a body.
+/// Timeout for receiving a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl<C: Clock> SharedState<C> {
-    /// Runs a request to a plain service.
+    /// Handles a request to a plain service.
     pub async fn run_service_request(
         self: &Arc<Self>,
         id: CallId,
@@ -77,8 +77,10 @@
     }
 }
 
-/// Splits the URI into service and rest. Dot segments are refused, because a
-/// service that resolves them would run another path than the one routed.
+/// Splits a URI into the service and the remaining path with its query.
+///
+/// Dot segments are refused, because a service that resolves them would run another path than the
+/// one that was routed.
 fn split_uri(uri: &str) -> Result<(ServiceName, String), FrontError> {
     let rest = uri.strip_prefix(PREFIX).unwrap_or_default();
     let (service, rest) = rest.split_once('/').unwrap_or((rest, ""));
@@ -95,7 +97,7 @@
     Ok((ServiceName::from(service), format!("/{rest}")))
 }
 
-/// Reads a body up to a limit.
+/// Reads a body of at most `limit` bytes.
 pub(crate) async fn read_body(data: Data<'_>, limit: u64) -> Result<Vec<u8>, FrontError> {
     let reading = data.open(ByteUnit::from(limit)).into_bytes();
     let body = timeout(BODY_TIMEOUT, reading)
--- a/crates/entry/src/front/shared.rs
+++ b/crates/entry/src/front/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests share.
+//! State that all requests share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -15,10 +15,10 @@
 use crate::upstream::{LastRequestTimes, UpstreamClient};
 use knapweeddale_runtime::Clock;
 
-/// The label of services that are not in the configuration.
+/// Metric label of services that are not in the configuration.
 const UNKNOWN_SERVICE: &str = "unknown";
 
-/// What all requests share.
+/// State that all requests share.
 #[derive(Debug)]
 pub(crate) struct SharedState<C> {
     pub vm: VmName,
@@ -41,7 +41,7 @@
 }
 
 impl<C: Clock> SharedState<C> {
-    /// Returns the label of a service: its name if it is configured.
+    /// Returns the metric label of a service: its name if it is configured, else `unknown`.
     pub fn service_label(&self, service: &ServiceName) -> String {
         let status = self.status.borrow();
         let is_known = status.fleet.services.iter().any(|row| row.name == *service);
@@ -53,7 +53,7 @@
         name.to_owned()
     }
 
-    /// Returns the label of the service that offers a model.
+    /// Returns the metric label of the service that offers a model, or `unknown`.
     pub fn model_label(&self, model: &ModelName) -> String {
         let status = self.status.borrow();
         let service = status.fleet.services.iter().find(|row| row.offers(model));
@@ -61,7 +61,7 @@
         name.to_owned()
     }
 
-    /// Returns why this VM is not ready for calls; empty if it is.
+    /// Returns the reasons why this VM is not ready for calls; empty if it is ready.
     pub fn unready_reasons(&self) -> Vec<&'static str> {
         let status = self.status.borrow();
         let checks = [
--- a/crates/entry/src/front/start_call.rs
+++ b/crates/entry/src/front/start_call.rs
@@ -1,4 +1,4 @@
-//! Opens a call: hands it to the core and waits for the start of its response.
+//! Opening of calls.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
 use crate::control::{CallOutput, Message};
 use knapweeddale_runtime::Clock;
 
-/// Outputs that may wait for a call's task: a dispatch and a cancellation for
-/// each of the core's eight attempts, the end, and as many again to be safe.
+/// Capacity of a call's output queue: a dispatch and a cancellation for each of the core's eight
+/// attempts plus the last output, about doubled as a margin.
 const CALL_OUTPUT_QUEUE_LEN: usize = 32;
 
 impl<C: Clock> SharedState<C> {
-    /// Opens a call and waits for the start of its response.
+    /// Sends a call to the core, starts its task and waits for the start of its response.
     pub async fn start_call(
         self: &Arc<Self>,
         new: NewCall,
--- a/crates/entry/src/inbox.rs
+++ b/crates/entry/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Requests of other VMs.
+//! Handler of requests from other VMs.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::front::SharedState;
 use knapweeddale_runtime::Clock;
 
-/// Hands requests of other VMs to the control thread.
+/// Queues messages of other VMs for the control thread and serves cached responses to them.
 pub(crate) struct Inbox<C>(pub Arc<SharedState<C>>);
 
 impl<C: Clock> PeerHandler for Inbox<C> {
--- a/crates/entry/src/known_peers.rs
+++ b/crates/entry/src/known_peers.rs
@@ -1,4 +1,4 @@
-//! What a VM asks other VMs at its start.
+//! Startup requests to the VMs named in the settings.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 
 use crate::control::StatusReader;
 
-/// Time between two rounds of requests.
+/// Interval between two rounds of requests.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Asks the VMs named in the settings for view and configuration until both
-/// are known. The store answers first unless it is down.
+/// Requests the view and the configuration from the VMs named in the settings until both are
+/// known. Normally the store provides them first; this covers a store that is unavailable.
 pub(crate) async fn query_known_peers(
     options: PeerOptions,
     peers: Vec<SocketAddr>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns whether view and configuration are known.
+/// Returns whether both the view and the configuration are known.
 fn has_view_and_config(status: &StatusReader) -> bool {
     let status = status.borrow();
     status.view.epoch.0 > 0 && status.fleet.revision.0 > 0
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
 //! The entry daemon of knapweeddale.
 //!
-//! [`Daemon`] serves callers over HTTP, drives the decision core in a control
-//! thread of its own, calls upstreams and exchanges messages with other VMs.
-//! The binary `knapweeddale-entry` is a thin wrapper around it.
+//! [`Daemon`] serves callers over HTTP, runs the decision core on a dedicated control thread,
+//! sends requests to upstreams and exchanges messages with other VMs. The binary
+//! `knapweeddale-entry` is a thin wrapper around it.
 
 mod call;
 mod control;
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -1,4 +1,4 @@
-//! The log of the daemon.
+//! Logging setup.
 
 use derive_more::{Display, Error};
 use knapweeddale_config::LogFormat;
@@ -6,42 +6,42 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// The log cannot be set up.
+/// Errors of the logging setup.
 #[derive(Debug, Display, Error)]
 pub enum LogError {
-    /// The filter cannot be read.
+    /// The filter cannot be parsed.
     #[display("log_filter {filter:?} cannot be read ({source}); write a level such as \"info\"")]
     Filter {
-        /// The filter.
+        /// The filter from the settings.
         filter: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: tracing_subscriber::filter::ParseError,
     },
-    /// The process has a log already.
+    /// Logging is already set up in this process.
     #[display("the log is set up already ({source}); set it up once")]
     AlreadyInitialized {
-        /// The error of the log.
+        /// The error of the `tracing` crate.
         source: SetGlobalDefaultError,
     },
 }
 
-/// Writes the log of the process to standard error.
+/// Sets up logging to standard error.
 ///
 /// # Errors
 ///
-/// Fails if the filter cannot be read or the process has a log already.
+/// Fails if the filter cannot be parsed or logging is already set up.
 pub fn init(format: LogFormat, filter: &str) -> Result<(), LogError> {
     init_with(format, filter, std::io::stderr)
 }
 
-/// Writes the log of the process to a writer.
+/// Sets up logging to a writer.
 ///
-/// Records of the crate `log` are left out: the HTTP server writes whole
-/// requests there, and with them the keys of callers.
+/// Records of the `log` crate are not included: the HTTP server logs whole requests there,
+/// including the keys of callers.
 ///
 /// # Errors
 ///
-/// Fails if the filter cannot be read or the process has a log already.
+/// Fails if the filter cannot be parsed or logging is already set up.
 pub fn init_with<W>(format: LogFormat, filter: &str, writer: W) -> Result<(), LogError>
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
@@ -52,7 +52,7 @@
     })?;
     let builder = tracing_subscriber::fmt()
         .with_env_filter(parsed)
-        // Each line starts with the name of its part already.
+        // Messages already start with the name of their part of the system.
         .with_target(false)
         .with_ansi(false)
         .with_writer(writer);
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Numbers for operators.
+//! Prometheus metrics of the entry daemon.
 //!
-//! Labels hold only names from the published configuration and fixed kinds,
-//! so that callers cannot add series. Keys and programs are never labels.
+//! Label values are names from the published configuration or fixed kinds, so that callers cannot
+//! create time series. Keys and programs are never labels.
 
 use std::time::Duration;
 
@@ -13,12 +13,13 @@
     IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// Bounds of times in seconds, from below the target of 1 ms to a long answer.
+/// Upper bounds of the histogram buckets for durations, in seconds; from below the target of 1 ms
+/// to the duration of a long answer.
 const DURATION_BUCKETS_S: &[f64] = &[
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.05, 0.1, 0.3, 0.59, 1.0, 3.0, 10.0, 30.0, 100.0,
 ];
 
-/// Numbers for operators.
+/// Counters, gauges and histograms of a VM that serves callers.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -44,7 +45,7 @@
 
 /// # Construction
 impl Metrics {
-    /// Makes all metrics at 0.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
@@ -106,11 +107,11 @@
         })
     }
 
-    /// Formats all metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Fails if a metric is inconsistent.
+    /// Fails if a metric cannot be encoded.
     pub fn to_text(&self) -> prometheus::Result<String> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
@@ -120,30 +121,30 @@
 
 /// # Calls
 impl Metrics {
-    /// Counts a request to a service of the configuration, or to none of them.
+    /// Counts a request; `service` is a configured name or `unknown`.
     pub(crate) fn count_request(&self, service: &str) {
         self.requests.with_label_values(&[service]).inc();
     }
 
-    /// Counts a refusal of the front end.
+    /// Counts a refused call.
     pub(crate) fn count_refusal(&self, kind: RefusalKind) {
         let kind = kind.to_string();
         self.refusals.with_label_values(&[kind.as_str()]).inc();
     }
 
-    /// Notes the time to the first token or byte.
+    /// Records the time to the first token or byte.
     pub(crate) fn observe_first_token(&self, service: &str, took: Duration) {
         let times = self.first_token_s.with_label_values(&[service]);
         times.observe(took.as_secs_f64());
     }
 
-    /// Notes the time of a call that ran.
+    /// Records the duration of a call that ran.
     pub(crate) fn observe_call(&self, service: &str, took: Duration) {
         let times = self.call_s.with_label_values(&[service]);
         times.observe(took.as_secs_f64());
     }
 
-    /// Counts a decision of the core.
+    /// Counts a decision, if there is a metric for its kind.
     pub(crate) fn count_decision(&self, decision: &Decision) {
         match decision {
             Decision::Refused { kind, .. } => self.count_refusal(*kind),
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Counts a charge record.
+    /// Counts a charge and its tokens.
     pub(crate) fn count_charge(&self, charge: &Charge) {
         let account = charge.account.as_ref().map_or("-", |name| name.as_str());
         self.charges.with_label_values(&[account]).inc();
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Counts a charge record that could not be kept.
+    /// Counts the loss of a charge record or of a batch of them.
     pub(crate) fn count_lost_charge(&self) {
         self.lost_charges.inc();
     }
@@ -176,34 +177,34 @@
 
 /// # Control and fleet
 impl Metrics {
-    /// Counts a tick of the control thread.
+    /// Records a tick of the control thread and sets the number of open calls.
     pub(crate) fn count_tick(&self, inputs: usize, took: Duration, open_calls: usize) {
         self.tick_s.observe(took.as_secs_f64());
         self.tick_inputs.inc_by(inputs as u64);
         self.open_calls.set(gauge_value(open_calls as u64));
     }
 
-    /// Sets the epoch in force.
+    /// Sets the epoch of the view in force.
     pub(crate) fn set_epoch(&self, epoch: Epoch) {
         self.epoch.set(gauge_value(epoch.0));
     }
 
-    /// Sets the revision in force.
+    /// Sets the revision of the configuration in force.
     pub(crate) fn set_revision(&self, revision: Revision) {
         self.revision.set(gauge_value(revision.0));
     }
 
-    /// Counts a message to a VM whose address is not known.
+    /// Counts a message dropped because the address of its VM is unknown.
     pub(crate) fn count_unaddressed(&self) {
         self.unaddressed.inc();
     }
 
-    /// Counts a batch of another VM for which there was no room.
+    /// Counts a batch from another VM dropped because the input queue was full.
     pub(crate) fn count_lost_delivery(&self) {
         self.lost_deliveries.inc();
     }
 
-    /// Takes over the counts of the exchange with other VMs.
+    /// Copies the counts of messages exchanged with other VMs.
     pub(crate) fn set_peer_counts(&self, counts: &CountsSnapshot) {
         for (kind, value) in [
             ("sent_messages", counts.sent_messages),
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Takes over the counts of calls to the object API.
+    /// Copies the counts of calls to the object API.
     pub(crate) fn set_store_counts(&self, counts: &knapweeddale_store::CallCounts) {
         for (kind, value) in [
             ("reads", counts.reads),
--- a/crates/entry/src/options.rs
+++ b/crates/entry/src/options.rs
@@ -1,14 +1,14 @@
-//! The command line.
+//! Command-line options.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 
-/// Serves callers of agent programs.
+/// Runs the entry daemon, which serves callers of agent programs.
 #[derive(Debug, Clone, PartialEq, Eq, Bpaf)]
 #[bpaf(options, version)]
 pub struct Options {
-    /// File with the settings of this VM
+    /// Path of this VM's settings file
     #[bpaf(argument("FILE"))]
     pub settings: PathBuf,
     /// Check the settings and exit
@@ -18,7 +18,7 @@
 }
 
 impl Options {
-    /// Reads the command line, or prints help and ends the process.
+    /// Parses the command line; prints help or an error and exits if there is nothing to run.
     pub fn from_command_line() -> Self {
         options().run()
     }
--- a/crates/entry/src/upstream/client.rs
+++ b/crates/entry/src/upstream/client.rs
@@ -1,4 +1,4 @@
-//! Requests to upstreams.
+//! HTTP client for requests to upstreams.
 
 use std::time::Duration;
 
@@ -9,36 +9,35 @@
 use reqwest::{Client, Method, Response, redirect, retry};
 use tokio::time::timeout;
 
-/// Longest wait for a connection. Upstreams are about 1 ms away; a connection
-/// that takes longer would only delay the choice of another upstream.
+/// Timeout for connecting. Upstreams are about 1 ms away; a longer wait would only delay the
+/// choice of another upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which an unused connection is closed. It is below the 5 s after
-/// which common HTTP servers close theirs, so that no request meets a
-/// connection that is just being closed.
+/// Time after which an idle connection is closed. Shorter than the 5 s of common HTTP servers, so
+/// that no request is sent on a connection that the upstream is closing.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A request to an upstream, the same for each attempt.
+/// A request to an upstream; the same for each attempt of a call.
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamRequest {
-    /// The call.
+    /// The call that the request belongs to.
     pub call: CallId,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path with its query.
+    /// The path with the query.
     pub path: String,
-    /// Headers that upstreams may see.
+    /// The headers to forward, without those that name the call and attempt.
     pub headers: HeaderMap,
-    /// The body.
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// Time limits of an attempt.
+/// Timeouts of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UpstreamTimeouts {
-    /// Longest wait for the first byte or token.
+    /// Timeout for the first byte or token.
     pub first_token: Duration,
-    /// Longest pause within the response.
+    /// Timeout between two parts of the response.
     pub token_gap: Duration,
 }
 
@@ -51,15 +50,15 @@
     }
 }
 
-/// The client of upstreams.
+/// HTTP client for upstreams with pooled connections.
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamClient(Client);
 
 impl UpstreamClient {
-    /// Makes a client that sends each request once.
+    /// Creates a client that sends each request only once.
     ///
-    /// Retries and redirects would run a request again that must not be
-    /// repeated, and a proxy would see what upstreams see.
+    /// Retries and redirects could repeat a request that must run only once, and a proxy could
+    /// read the requests.
     pub fn new() -> reqwest::Result<Self> {
         Client::builder()
             .retry(retry::never())
@@ -74,12 +73,12 @@
             .map(Self)
     }
 
-    /// Returns the HTTP client for requests that belong to no call.
+    /// Returns the HTTP client, for requests that belong to no call.
     pub fn http_client(&self) -> &Client {
         &self.0
     }
 
-    /// Sends a request and waits for the head of the response.
+    /// Sends the request of an attempt and waits for the response head.
     pub async fn send_request(
         &self,
         dispatch: &Dispatch,
@@ -106,7 +105,7 @@
     }
 }
 
-/// Adds the headers that name call, attempt and program.
+/// Inserts the headers that name the call, the attempt and the program.
 fn insert_call_headers(headers: &mut HeaderMap, dispatch: &Dispatch, call: CallId) {
     let mut put = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::from_str(&value) {
@@ -128,9 +127,9 @@
     }
 }
 
-/// Converts an error of the HTTP client.
+/// Converts an error of the HTTP client to a failure of the attempt.
 ///
-/// Only a connection that was never made proves that nothing was sent.
+/// Only a connection that was never established proves that nothing was sent.
 fn classify_error(error: &reqwest::Error) -> Failure {
     if error.is_connect() || error.is_builder() {
         return Failure::NotSent;
--- a/crates/entry/src/upstream/completion.rs
+++ b/crates/entry/src/upstream/completion.rs
@@ -1,4 +1,4 @@
-//! A completion put together from its events.
+//! Assembly of a completion from its stream of events.
 
 use std::collections::BTreeMap;
 
@@ -12,18 +12,18 @@
 /// The data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// What an event adds to a completion.
+/// What an event contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EventKind {
-    /// A part of the answer.
+    /// At least one token of the answer.
     Token,
-    /// Something else, such as the numbers of tokens.
+    /// Anything else, such as token counts.
     Other,
-    /// The end of the stream.
+    /// The `[DONE]` marker at the end of the stream.
     Done,
 }
 
-/// A completion put together from its events.
+/// A completion assembled from its events.
 #[derive(Debug, Default)]
 pub(crate) struct Completion {
     /// Fields of the first chunk, such as `id` and `model`.
@@ -33,7 +33,7 @@
     tokens: u64,
 }
 
-/// One choice of a completion.
+/// A choice of a completion, assembled from its deltas.
 #[derive(Debug, Default)]
 struct Choice {
     content: String,
@@ -41,7 +41,7 @@
     finish_reason: Value,
 }
 
-/// One call of a tool, whose arguments arrive in parts.
+/// A tool call, assembled from its deltas.
 #[derive(Debug, Default)]
 struct ToolCall {
     id: String,
@@ -51,7 +51,7 @@
 
 /// # Events
 impl Completion {
-    /// Adds an event.
+    /// Adds an event and returns its kind.
     pub fn add_event(&mut self, event: &[u8]) -> EventKind {
         let Some(data) = parse_event_data(event) else {
             return EventKind::Other;
@@ -65,7 +65,7 @@
         self.add_chunk(chunk)
     }
 
-    /// Adds the chunk of an event.
+    /// Adds the JSON chunk of an event.
     fn add_chunk(&mut self, mut chunk: Map<String, Value>) -> EventKind {
         if let Some(usage) = chunk.remove("usage").filter(Value::is_object) {
             self.usage = Some(usage);
@@ -85,14 +85,14 @@
         kind
     }
 
-    /// Returns the parts of the answer so far, one for each token.
+    /// Returns the number of answer tokens so far, counting one per non-empty delta.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 }
 
 impl Choice {
-    /// Adds a part; returns whether it carried any of the answer.
+    /// Adds a delta; returns whether it contained any part of the answer.
     fn add_delta(&mut self, part: &Value) -> bool {
         if !part["finish_reason"].is_null() {
             self.finish_reason = part["finish_reason"].clone();
@@ -113,7 +113,7 @@
         !content.is_empty() || calls.is_some_and(|calls| !calls.is_empty())
     }
 
-    /// Returns the message as the caller sends it back with the next turn.
+    /// Builds the message in the form in which the caller repeats it in the next turn.
     fn build_message(&self) -> Value {
         let mut message = json!({"role": "assistant", "content": self.content});
         if !self.tool_calls.is_empty() {
@@ -129,7 +129,7 @@
 
 /// # Result
 impl Completion {
-    /// Returns the whole response of a call that does not stream.
+    /// Returns the response body for a call that does not stream.
     pub fn to_json(&self) -> Value {
         let choices = self.choices.iter().map(|(index, choice)| {
             json!({
@@ -145,9 +145,9 @@
         whole
     }
 
-    /// Returns the numbers of tokens and the history including the answer.
+    /// Returns the token counts and the digest of the history including the answer.
     ///
-    /// `prompt_tokens` stands in for an engine that reports no numbers.
+    /// `prompt_tokens` is the estimate to use if the engine reports no usage.
     pub fn build_outcome(&self, mut history: HistoryChain, prompt_tokens: u64) -> AttemptOutcome {
         if let Some(choice) = self.choices.values().next() {
             history.extend(&canonical_message(&choice.build_message()));
--- a/crates/entry/src/upstream/events.rs
+++ b/crates/entry/src/upstream/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of an engine.
+//! Reader of server-sent events from an engine.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use reqwest::Response;
 use tokio::time::timeout;
 
-/// Largest event; a token takes a few hundred bytes.
+/// Maximum size of an event; one token takes a few hundred bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// Why the next event could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EventError {
-    /// The connection broke, or the stream ended or was malformed.
+    /// The connection broke, the stream ended, or an event was too large.
     Lost,
-    /// Nothing arrived within the time limit.
+    /// No bytes arrived within the timeout.
     Silent,
 }
 
-/// Splits a response into events.
+/// Splits the body of a response into events.
 #[derive(Debug)]
 pub(crate) struct EventReader {
     response: Response,
@@ -33,9 +33,9 @@
         }
     }
 
-    /// Returns the next event with the blank line that ends it.
+    /// Returns the next event, including the blank line that ends it.
     ///
-    /// `limit` is the longest silence; each arrival of bytes starts it anew.
+    /// `limit` is the maximum time without bytes; it starts again whenever bytes arrive.
     pub async fn next(&mut self, limit: Duration) -> Result<Bytes, EventError> {
         loop {
             if let Some(end) = find_event_end(&self.buffer) {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns the length of the first event including its blank line.
+/// Returns the length of the first complete event, including its blank line.
 fn find_event_end(buffer: &[u8]) -> Option<usize> {
     let lf = buffer.windows(2).position(|w| w == b"\n\n");
     let crlf = buffer.windows(4).position(|w| w == b"\r\n\r\n");
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns the data of an event.
+/// Returns the value of the first `data` line of an event.
 pub(crate) fn parse_event_data(event: &[u8]) -> Option<&[u8]> {
     event.split(|byte| *byte == b'\n').find_map(|line| {
         let data = line.strip_prefix(b"data:")?;
--- a/crates/entry/src/upstream/headers.rs
+++ b/crates/entry/src/upstream/headers.rs
@@ -1,8 +1,8 @@
-//! Which headers cross between callers and upstreams.
+//! Filters for headers between callers and upstreams.
 
 use reqwest::header::{HeaderMap, HeaderName, HeaderValue};
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
@@ -13,11 +13,11 @@
     "upgrade",
 ];
 
-/// Headers that the client sets itself. Compressed responses could not be
-/// read or kept, so none is asked for.
+/// Headers that the HTTP client sets itself. `accept-encoding` is not forwarded because compressed
+/// responses could be neither parsed nor cached.
 const CLIENT_HEADERS: &[&str] = &["host", "content-length", "accept-encoding", "expect"];
 
-/// Parts of names that mark a header as a credential.
+/// Substrings of header names that mark credentials.
 const CREDENTIAL_PARTS: &[&str] = &[
     "authorization",
     "authenticate",
@@ -33,10 +33,10 @@
     "signature",
 ];
 
-/// Prefix of headers between callers and knapweeddale.
+/// Prefix of headers that are exchanged only between callers and knapweeddale.
 const INTERNAL_PREFIX: &str = "kwd-";
 
-/// Returns whether a header may be passed on, apart from its value.
+/// Returns whether a header of this name may be forwarded.
 fn is_forwardable(name: &str, connection: &[String]) -> bool {
     let is_named = |list: &[&str]| list.contains(&name);
     !is_named(HOP_BY_HOP)
@@ -45,7 +45,7 @@
         && !name.starts_with(INTERNAL_PREFIX)
 }
 
-/// Returns the headers that the `connection` header makes hop-by-hop.
+/// Returns the names in the `connection` header, which are hop-by-hop as well.
 fn parse_connection_header<'a>(headers: impl Iterator<Item = (&'a str, &'a str)>) -> Vec<String> {
     headers
         .filter(|(name, _)| name.eq_ignore_ascii_case("connection"))
@@ -54,10 +54,9 @@
         .collect()
 }
 
-/// Returns the headers of a caller that an upstream may see.
+/// Returns the headers of a caller that may be forwarded to an upstream.
 ///
-/// A header is dropped if its name marks a credential or its value holds the
-/// caller's key.
+/// Drops headers whose name marks a credential or whose value contains the caller's key.
 pub(crate) fn filter_request_headers<'a>(
     headers: impl Iterator<Item = (&'a str, &'a str)> + Clone,
     key: Option<&str>,
@@ -81,7 +80,7 @@
     forwarded
 }
 
-/// Returns the headers of an upstream's response that the caller may see.
+/// Returns the headers of an upstream's response that may be sent to the caller.
 pub(crate) fn filter_response_headers(headers: &HeaderMap) -> Vec<(String, String)> {
     let texts = || {
         headers
--- a/crates/entry/src/upstream/loads.rs
+++ b/crates/entry/src/upstream/loads.rs
@@ -1,4 +1,4 @@
-//! Load reports of engines.
+//! Polling of load reports from engines.
 
 use std::time::Duration;
 
@@ -13,24 +13,24 @@
 use super::UpstreamClient;
 use crate::control::{InputSender, StatusReader};
 
-/// Time between two reports; engines update theirs about as often.
+/// Polling interval; engines update their reports about as often.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest wait for a report, so that rounds do not overlap.
+/// Timeout for a report; shorter than the polling interval, so that rounds do not overlap.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A load report.
+/// A load report of an engine.
 #[derive(Debug, Deserialize)]
 struct Load {
     running_calls: u32,
     #[serde(default)]
     tokens_per_s: u64,
-    /// Models that are loaded; absent if the engine takes no orders.
+    /// The loaded models; absent if the engine does not accept orders.
     #[serde(default)]
     models: Option<Vec<String>>,
 }
 
-/// Asks the engines whose pools or orders this VM owns for their load.
+/// Polls the load of the engines whose pools or orders this VM owns.
 pub(crate) async fn poll_loads(
     client: UpstreamClient,
     vm: VmName,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns name and address of the engines in pools that a VM owns.
+/// Returns the names and addresses of the engines whose pools or orders a VM owns.
 fn find_owned_engines(
     fleet: &FleetConfig,
     view: &View,
@@ -73,7 +73,7 @@
         .collect()
 }
 
-/// Returns the models of a service whose pool a VM owns.
+/// Returns the models of a service whose pools a VM owns.
 fn find_owned_models(service: &ServiceConfig, view: &View, vm: &VmName) -> Vec<ModelName> {
     let ServiceKind::Engine(engine) = &service.kind else {
         return Vec::new();
@@ -88,7 +88,7 @@
     engine.models.iter().filter(is_owned).cloned().collect()
 }
 
-/// Asks one engine.
+/// Fetches the load report of one engine; `None` if the request fails.
 async fn fetch_load(
     client: &UpstreamClient,
     upstream: UpstreamName,
@@ -107,7 +107,7 @@
     Some((upstream, load))
 }
 
-/// Returns the inputs that a load report makes.
+/// Converts a load report to inputs for the core.
 fn build_inputs(upstream: UpstreamName, load: Load) -> impl Iterator<Item = Input> {
     let running_calls = load.running_calls;
     let loaded = load.models.map(|models| Input::Loaded {
--- a/crates/entry/src/upstream/mod.rs
+++ b/crates/entry/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The client of upstreams.
+//! Communication with upstreams.
 
 mod client;
 mod completion;
--- a/crates/entry/src/upstream/orders.rs
+++ b/crates/entry/src/upstream/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: load and unload models.
+//! Orders to engines to load and unload models.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 /// Sends orders until the control thread ends.
 ///
-/// `order_ms` is the longest time that an order may be in flight.
+/// `order_ms` is the maximum time that an order may be in flight.
 pub(crate) async fn serve_orders<C: Clock>(
     client: UpstreamClient,
     clock: C,
@@ -26,7 +26,7 @@
     while let Some(order) = orders.recv().await {
         let (client, clock, inputs) = (client.clone(), clock.clone(), inputs.clone());
         tokio::spawn(async move {
-            // A VM that was paused past its lease must not send what it decided before.
+            // A VM that was paused until its lease expired must not send earlier orders.
             let result = if clock.now_us() < order.valid_until_us {
                 send_order(&client, &order, timeout).await
             } else {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Sends one order and waits for its answer.
+/// Sends one order and waits for its result.
 async fn send_order(client: &UpstreamClient, order: &Order, timeout: Duration) -> OrderResult {
     let url = format!("http://{}/orders", order.address);
     let sent = client
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns the body of an order.
+/// Encodes an order as JSON.
 fn encode_order(order: &Order) -> Value {
     let body = |action: &str, model: &ModelName| {
         json!({
--- a/crates/entry/src/upstream/probe.rs
+++ b/crates/entry/src/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! Probes of upstreams to which a connection broke.
+//! Probes of upstreams after a connection to them broke.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,28 +13,28 @@
 use super::UpstreamClient;
 use crate::control::InputSender;
 
-/// Longest wait for the answer to a probe. The suspects of a crash wait for it.
+/// Timeout for a probe. The calls suspected of causing a crash wait for its result.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When each upstream was last known to be alive.
+/// The time of the last request to each upstream.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LastRequestTimes(Arc<Mutex<HashMap<UpstreamName, Instant>>>);
 
 impl LastRequestTimes {
-    /// Notes that an upstream is about to get a request.
+    /// Records that a request to an upstream is about to be sent.
     pub fn record(&self, upstream: &UpstreamName) {
         let mut times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         times.insert(upstream.clone(), Instant::now());
     }
 
-    /// Returns how long ago an upstream got its last request.
+    /// Returns the time since the last request to an upstream; `None` without a request.
     fn age(&self, upstream: &UpstreamName) -> Option<Duration> {
         let times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         times.get(upstream).map(Instant::elapsed)
     }
 }
 
-/// The part of a load report that shows a restart.
+/// The field of a load report that reveals a restart.
 #[derive(Debug, Deserialize)]
 struct Uptime {
     uptime_ms: Option<u64>,
@@ -58,10 +58,10 @@
     }
 }
 
-/// Probes an upstream over a new or pooled connection.
+/// Probes an upstream, over a new or pooled connection.
 ///
-/// A process that is younger than the last request to it has restarted. One
-/// that reports no age, such as a plain service, counts as not restarted.
+/// An upstream whose uptime is shorter than the time since the last request to it has restarted.
+/// One that reports no uptime, such as a plain service, counts as not restarted.
 async fn probe(
     client: &UpstreamClient,
     request: &ProbeRequest,
--- a/crates/entry/src/upstream/release.rs
+++ b/crates/entry/src/upstream/release.rs
@@ -1,4 +1,4 @@
-//! Releases of engine memory.
+//! Requests to engines to release the memory of programs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,23 +10,23 @@
 use super::UpstreamClient;
 use crate::control::InputSender;
 
-/// Longest wait for the confirmation of a release; the core repeats it.
+/// Timeout for the confirmation of a release; the core repeats unconfirmed releases.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Releases in flight at once, so that engines which do not answer hold no
-/// more than these connections.
+/// Maximum number of releases in flight, which bounds the connections that unresponsive engines
+/// occupy.
 const MAX_CONCURRENT_RELEASES: usize = 32;
 
-/// The request to release the memory of a program at an engine.
+/// A request to an engine to release the memory of a program.
 #[derive(Debug)]
 pub(crate) struct ReleaseRequest {
-    /// The engine.
+    /// The engine to send the request to.
     pub upstream: UpstreamName,
-    /// Its address as `ip:port`.
+    /// Address of the engine as `ip:port`.
     pub address: Arc<str>,
-    /// The program.
+    /// The program whose memory is released.
     pub program: ProgramKey,
-    /// The generation of the program that is released.
+    /// The generation of the program whose memory is released.
     pub generation: u64,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the input that confirms a release.
+/// Builds the input that confirms a release to the core.
 fn build_confirmation(request: ReleaseRequest) -> Input {
     Input::ReleaseConfirmed {
         upstream: request.upstream,
