--- a/crates/core/src/ids/program.rs
+++ b/crates/core/src/ids/program.rs
@@ -31,7 +31,7 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[display("{service}:{}", model.as_ref().map_or("-", |m| m.as_str()))]
 pub struct PoolKey {
-    /// The service.
+    /// The service that the upstreams run.
     pub service: ServiceName,
     /// The model; `None` for plain services.
     pub model: Option<ModelName>,
--- a/crates/core/src/input/attempt.rs
+++ b/crates/core/src/input/attempt.rs
@@ -5,7 +5,7 @@
 /// An event of a running attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptEvent {
-    /// The attempt.
+    /// The attempt that the event is about.
     pub attempt: AttemptId,
     /// What happened.
     pub progress: AttemptProgress,
--- a/crates/core/src/input/call.rs
+++ b/crates/core/src/input/call.rs
@@ -55,7 +55,7 @@
     Model(ModelName),
     /// A request to a service that is no engine.
     Plain {
-        /// The service.
+        /// The requested service.
         service: ServiceName,
         /// The HTTP method in upper case.
         method: String,
@@ -88,7 +88,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Continuation {
-    /// The program.
+    /// The program that the state belongs to.
     pub program: ProgramKey,
     /// Distinguishes successive programs with the same name.
     pub generation: u64,
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Permit {
-    /// The program.
+    /// The program that the permit is for.
     pub program: ProgramKey,
     /// Distinguishes successive programs with the same name.
     pub generation: u64,
--- a/crates/core/src/input/event.rs
+++ b/crates/core/src/input/event.rs
@@ -19,7 +19,7 @@
     ReleaseConfirmed {
         /// The engine that released it.
         upstream: UpstreamName,
-        /// The program.
+        /// The program that used the memory.
         program: ProgramKey,
         /// The generation whose memory was released.
         generation: u64,
@@ -30,11 +30,11 @@
     Attempt(AttemptEvent),
     /// A message from another VM arrived.
     Peer {
-        /// The sender.
+        /// The VM that sent it.
         from: VmName,
         /// The incarnation of the sender's process.
         incarnation: Incarnation,
-        /// The message.
+        /// The content of the message.
         message: PeerMessage,
     },
     /// The store answered a request for the view, or failed to.
@@ -54,7 +54,7 @@
     },
     /// An upstream was probed after a connection broke.
     Probed {
-        /// The upstream.
+        /// The probed upstream.
         upstream: UpstreamName,
         /// The result of the probe.
         state: ProbeState,
@@ -70,7 +70,7 @@
     },
     /// An upstream answered an order, or failed to.
     OrderResult {
-        /// The upstream.
+        /// The upstream that received the order.
         upstream: UpstreamName,
         /// The fencing token of the order.
         token: FencingToken,
@@ -132,7 +132,7 @@
 /// A view and the version of its object in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredView {
-    /// The view.
+    /// The view as stored.
     pub view: View,
     /// The version of the view object.
     pub version: u64,
--- a/crates/core/src/input/relay.rs
+++ b/crates/core/src/input/relay.rs
@@ -81,14 +81,14 @@
     Config {
         /// When the request was sent, on this VM's clock.
         asked_us: u64,
-        /// The configuration.
+        /// The configuration as the store has it.
         fleet: Option<Arc<FleetConfig>>,
     },
     /// The upstream list.
     Upstreams {
         /// When the request was sent, on this VM's clock.
         asked_us: u64,
-        /// The list.
+        /// The list as the store has it.
         list: Arc<UpstreamList>,
     },
     /// The registered VMs, including this one.
@@ -140,7 +140,7 @@
     Snapshot {
         /// When it was requested, on this VM's clock.
         asked_us: u64,
-        /// The snapshot.
+        /// The other VM's state.
         snapshot: Box<Snapshot>,
     },
     /// A requested snapshot did not arrive.
--- a/crates/core/src/message/homes.rs
+++ b/crates/core/src/message/homes.rs
@@ -19,7 +19,7 @@
     Began(Box<Began>),
     /// Confirms that a call is queued for its turn.
     Pending {
-        /// The call.
+        /// The queued call.
         call: CallId,
     },
     /// Refuses a turn or a request.
@@ -41,7 +41,7 @@
     Settle(Box<Settle>),
     /// Confirms a `Settle` and returns the new state of the program.
     Settled {
-        /// The call.
+        /// The call that ran the turn.
         call: CallId,
         /// The continuation for the next turn; `None` if the turn did not run or the program
         /// has ended.
@@ -51,16 +51,16 @@
     },
     /// Asks the entry VM whether a turn that has been in progress for a long time has ended.
     Probe {
-        /// The call.
+        /// The call that runs the turn.
         call: CallId,
-        /// The program.
+        /// The program that the turn belongs to.
         program: ProgramKey,
     },
     /// Reports that the entry VM does not know a call that the home has recorded as running.
     Gone {
-        /// The call.
+        /// The call that the home asked about.
         call: CallId,
-        /// The program.
+        /// The program that the turn belongs to.
         program: ProgramKey,
         /// Whether the call may have run.
         ran: Execution,
@@ -69,23 +69,23 @@
     PermitRequest(Box<PermitRequest>),
     /// Sends the requested permit.
     PermitIs {
-        /// The request.
+        /// The answered request.
         request: CallId,
-        /// The permit.
+        /// The issued permit.
         permit: Box<Permit>,
     },
     /// Ends a program.
     End {
-        /// The request.
+        /// The ID of this request, which the answer repeats.
         request: CallId,
-        /// The program.
+        /// The program to end.
         program: ProgramKey,
         /// The generation to end; `None` for the current one.
         generation: Option<u64>,
     },
     /// Confirms the end of a program.
     Ended {
-        /// The request.
+        /// The answered request.
         request: CallId,
     },
     /// Sends an entry VM's records of programs to their new home.
@@ -110,11 +110,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Begin {
-    /// The call.
+    /// The call that runs the turn.
     pub call: CallId,
     /// When the message was sent, on the clock of the entry VM; the answer repeats it.
     pub sent_us: u64,
-    /// The program.
+    /// The program that the turn belongs to.
     pub program: ProgramKey,
     /// The turn number, from 1.
     pub turn: u32,
@@ -136,7 +136,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Began {
-    /// The call.
+    /// The call that may run the turn.
     pub call: CallId,
     /// The `sent_us` of the `Begin` that is answered.
     pub sent_us: u64,
@@ -164,7 +164,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settle {
-    /// The call.
+    /// The call that ran the turn.
     pub call: CallId,
     /// The state of the program before the turn.
     pub state: Continuation,
@@ -202,9 +202,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct PermitRequest {
-    /// The request ID.
+    /// The ID of this request, which the answer repeats.
     pub request: CallId,
-    /// The program.
+    /// The program that the permit is for.
     pub program: ProgramKey,
     /// The turn that the permit is for.
     pub turn: u32,
@@ -250,7 +250,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct HandedProgram {
-    /// The program.
+    /// The key of the program.
     pub key: ProgramKey,
     /// Its table row, with times on the sender's clock.
     pub row: Program,
--- a/crates/core/src/message/placement.rs
+++ b/crates/core/src/message/placement.rs
@@ -15,14 +15,14 @@
     Place(Box<Place>),
     /// Confirms that an attempt is queued for an upstream.
     Queued {
-        /// The attempt.
+        /// The queued attempt.
         attempt: AttemptId,
     },
     /// Assigns an upstream to an attempt.
     Placed {
-        /// The pool.
+        /// The pool of the upstream.
         pool: PoolKey,
-        /// The attempt.
+        /// The attempt that may run.
         attempt: AttemptId,
         /// The chosen upstream.
         upstream: UpstreamName,
@@ -33,35 +33,35 @@
     },
     /// Reports that the attempt gets no upstream.
     Unplaced {
-        /// The attempt.
+        /// The attempt that ends without running.
         attempt: AttemptId,
         /// Reason for the refusal.
         kind: RefusalKind,
     },
     /// Withdraws a request for an upstream.
     Withdraw {
-        /// The pool.
+        /// The pool that was asked for an upstream.
         pool: PoolKey,
-        /// The attempt.
+        /// The attempt that needs no upstream any more.
         attempt: AttemptId,
     },
     /// Reports the end of an attempt.
     Finish(Box<Finish>),
     /// Confirms a `Finish`.
     Finished {
-        /// The attempt.
+        /// The attempt whose end is confirmed.
         attempt: AttemptId,
     },
     /// Reports running attempts to a new owner of their pool.
     InFlight {
-        /// The pool.
+        /// The pool that the attempts run in.
         pool: PoolKey,
         /// The running attempts.
         attempts: Vec<InFlight>,
     },
     /// Reports to the entry VM of a call during how many crashes its content was running.
     Suspected {
-        /// The call.
+        /// The call that carries the content.
         call: CallId,
         /// The number of crashes.
         crashes: u32,
@@ -79,9 +79,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Place {
-    /// The pool.
+    /// The pool to choose from.
     pub pool: PoolKey,
-    /// The attempt.
+    /// The attempt to place.
     pub attempt: AttemptId,
     /// The account to charge; `None` on routes that need no key.
     pub account: Option<AccountName>,
@@ -112,9 +112,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Finish {
-    /// The pool.
+    /// The pool of the upstream.
     pub pool: PoolKey,
-    /// The attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
     /// The upstream that ran it.
     pub upstream: UpstreamName,
@@ -154,7 +154,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct InFlight {
-    /// The attempt.
+    /// The running attempt.
     pub attempt: AttemptId,
     /// The upstream that runs it.
     pub upstream: UpstreamName,
--- a/crates/core/src/message/rates.rs
+++ b/crates/core/src/message/rates.rs
@@ -57,7 +57,7 @@
 pub struct Demand {
     /// Why it is sent.
     pub kind: DemandKind,
-    /// The account.
+    /// The account whose rate is shared.
     pub account: AccountName,
     /// The epoch of the sender's view.
     pub epoch: Epoch,
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct HeldShare {
-    /// The share.
+    /// The ID of the share.
     pub id: ShareId,
     /// Sequence number of the last applied grant, which this confirms.
     pub applied_seq: u64,
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Grant {
-    /// The account.
+    /// The account whose rate is shared.
     pub account: AccountName,
     /// The epoch of the owner.
     pub epoch: Epoch,
@@ -116,7 +116,7 @@
     pub sent_us: u64,
     /// How long the grant is valid, counted from `sent_us`.
     pub valid_ms: u64,
-    /// The share.
+    /// The ID of the granted share.
     pub id: ShareId,
     /// Sequence number of the grants of the share.
     pub seq: u64,
@@ -136,7 +136,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Unlent {
-    /// The account.
+    /// The account whose rate is shared.
     pub account: AccountName,
     /// Rate that was not granted.
     pub rate_mcalls_per_s: u64,
--- a/crates/core/src/message/summary.rs
+++ b/crates/core/src/message/summary.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Summary {
-    /// The sender.
+    /// The name of the sender.
     pub from: VmName,
     /// The incarnation of the sender's process.
     pub incarnation: Incarnation,
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ProgramUse {
-    /// The program.
+    /// The program that has the budget.
     pub program: ProgramKey,
     /// The first sequence of turns of the program, which is not that of a sub-agent; `None` if
     /// unknown.
@@ -120,7 +120,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ProgramSpent {
-    /// The program.
+    /// The program that has the budget.
     pub program: ProgramKey,
     /// Its whole token budget.
     pub budget_tokens: u64,
--- a/crates/core/src/output/decision.rs
+++ b/crates/core/src/output/decision.rs
@@ -21,7 +21,7 @@
     /// A call was refused.
     #[display("admission: refused call {call} as {kind}, {ran}")]
     Refused {
-        /// The call.
+        /// The refused call.
         call: CallId,
         /// Reason for the refusal.
         kind: RefusalKind,
@@ -31,7 +31,7 @@
     /// A call was admitted under its account's rate limit.
     #[display("rates: admitted call {call} of {account} after {waited_us} us")]
     Admitted {
-        /// The call.
+        /// The admitted call.
         call: CallId,
         /// The account whose rate limit applies.
         account: AccountName,
@@ -43,7 +43,7 @@
         "rates: no room for call {call} of {account}, level {level_mcalls} and debt {debt_mcalls} of a burst of {burst_mcalls} thousandths of a call, rate {rate_mcalls_per_s} a second"
     )]
     NoRoom {
-        /// The call.
+        /// The call that was not admitted.
         call: CallId,
         /// The account whose rate limit applies.
         account: AccountName,
@@ -61,7 +61,7 @@
         "homes: turn {turn} of {program} begins for call {call}, {reserved_tokens} tokens reserved"
     )]
     TurnBegan {
-        /// The program.
+        /// The program that the turn belongs to.
         program: ProgramKey,
         /// The turn number.
         turn: u32,
@@ -73,7 +73,7 @@
     /// The home of a program refused a turn.
     #[display("homes: denied turn {turn} of {program} to call {call} as {kind}, {ran}")]
     TurnDenied {
-        /// The program.
+        /// The program that the turn belongs to.
         program: ProgramKey,
         /// The turn number.
         turn: u32,
@@ -89,7 +89,7 @@
         "homes: outcome of turn {turn} of {program} unknown, its entry VM {vm} is no longer a member"
     )]
     TurnUnknown {
-        /// The program.
+        /// The program that the turn belongs to.
         program: ProgramKey,
         /// The turn number.
         turn: u32,
@@ -99,7 +99,7 @@
     /// This VM became the home of a program and recovered its state.
     #[display("homes: took over {program} at turn {turn} from {source}")]
     ProgramTakenOver {
-        /// The program.
+        /// The program that was taken over.
         program: ProgramKey,
         /// The last finished turn.
         turn: u32,
@@ -109,7 +109,7 @@
     /// A program was closed.
     #[display("homes: {program} generation {generation} closed, {reason}")]
     ProgramOver {
-        /// The program.
+        /// The closed program.
         program: ProgramKey,
         /// The generation that was closed.
         generation: u64,
@@ -119,7 +119,7 @@
     /// The home started to release a program's memory on an engine.
     #[display("homes: releasing memory of {program} generation {generation} at {upstream}")]
     MemoryReleased {
-        /// The program.
+        /// The program that used the memory.
         program: ProgramKey,
         /// The generation whose memory is released.
         generation: u64,
@@ -134,7 +134,7 @@
         runners_up_text(runners_up)
     )]
     Placed {
-        /// The attempt.
+        /// The attempt that was placed.
         attempt: AttemptId,
         /// The program; `None` if the call belongs to none.
         program: Option<ProgramKey>,
@@ -150,7 +150,7 @@
     /// A failed call is retried.
     #[display("retry: call {call} again after {upstream} failed, {reason}")]
     Retry {
-        /// The call.
+        /// The call to retry.
         call: CallId,
         /// The upstream that failed.
         upstream: UpstreamName,
@@ -160,7 +160,7 @@
     /// A failed call is not retried.
     #[display("retry: call {call} ends after {upstream} failed, {reason}")]
     NoRetry {
-        /// The call.
+        /// The call that ends.
         call: CallId,
         /// The upstream that failed.
         upstream: UpstreamName,
@@ -382,7 +382,7 @@
         "budgets: {program} stopped, {known_tokens} of {budget_tokens} tokens known to be used"
     )]
     ProgramStopped {
-        /// The program.
+        /// The program that has the budget.
         program: ProgramKey,
         /// Tokens known to be used.
         known_tokens: u64,
--- a/crates/core/src/output/mod.rs
+++ b/crates/core/src/output/mod.rs
@@ -89,7 +89,7 @@
     ReleaseMemory {
         /// The engine that holds the memory.
         upstream: UpstreamName,
-        /// The program.
+        /// The program that used the memory.
         program: ProgramKey,
         /// The generation whose memory is released.
         generation: u64,
@@ -108,7 +108,7 @@
 /// An attempt to run on an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
-    /// The attempt.
+    /// The attempt to run.
     pub attempt: AttemptId,
     /// The upstream that runs it.
     pub upstream: UpstreamName,
