--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -31,7 +31,7 @@
         let mut tables = Tables::default();
         match settings.coordination {
             Coordination::Owners => tables.timers.set(0, Timer::Heartbeat),
-            Coordination::Peers => start_alone(&settings, &mut tables),
+            Coordination::Peers => init_own_view(&settings, &mut tables),
         }
         Self {
             settings,
@@ -116,7 +116,7 @@
 /// Initializes the tables of a VM that decides for its own calls only.
 ///
 /// Its view has this VM as the only member, so it owns the pools of its calls.
-fn start_alone(settings: &CoreSettings, tables: &mut Tables) {
+fn init_own_view(settings: &CoreSettings, tables: &mut Tables) {
     let mut view = View {
         epoch: Epoch(1),
         ..View::default()
--- a/crates/core/src/input/attempt.rs
+++ b/crates/core/src/input/attempt.rs
@@ -75,7 +75,7 @@
 
 impl Failure {
     /// Returns whether the request certainly did not run.
-    pub fn is_not_run(&self) -> bool {
+    pub fn did_not_run(&self) -> bool {
         matches!(self, Self::NotSent | Self::RefusedByUpstream { .. })
     }
 
--- a/crates/core/src/input/event.rs
+++ b/crates/core/src/input/event.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{AttemptEvent, NewCall, PeerNews, ProgramRequest, SourceEvent};
+use super::{AttemptEvent, NewCall, PeerEvent, ProgramRequest, SourceEvent};
 use crate::config::FleetConfig;
 use crate::ids::{CallId, FencingToken, Incarnation, ModelName, ProgramKey, UpstreamName, VmName};
 use crate::message::PeerMessage;
@@ -40,7 +40,7 @@
     /// The store answered a request for the view, or failed to.
     Store(StoreEvent),
     /// The platform's list of VMs, which may be out of date.
-    VmList(Vec<VmStatus>),
+    VmList(Vec<ListedVm>),
     /// A validated configuration.
     Config(Arc<FleetConfig>),
     /// An upstream reported its load; reports arrive with a delay.
@@ -80,7 +80,7 @@
     /// The store answered a request about configuration, upstreams, VMs or budgets.
     Source(SourceEvent),
     /// Another VM sent its state under `Coordination::Peers`, or failed to.
-    News(PeerNews),
+    PeerEvent(PeerEvent),
     /// The process was asked to stop: drain this VM.
     Drain,
     /// The process stops now, which ends all open calls.
@@ -140,7 +140,7 @@
 
 /// One entry of the platform's list of VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct VmStatus {
+pub struct ListedVm {
     /// The name of the VM.
     pub vm: VmName,
     /// Its address as `ip:port`.
--- a/crates/core/src/input/mod.rs
+++ b/crates/core/src/input/mod.rs
@@ -10,8 +10,8 @@
     Continuation, NewCall, Permit, PresentedKey, ProgramRequest, ProgramRequestKind, ProgramTurn,
     Target,
 };
-pub use event::{Input, OrderResult, ProbeState, StoreEvent, StoredView, VmStatus};
+pub use event::{Input, ListedVm, OrderResult, ProbeState, StoreEvent, StoredView};
 pub use relay::{
-    ListedUpstream, PeerNews, RecordKeeper, RegisteredVm, RelayedCall, SourceEvent, SourcePart,
-    UpstreamList,
+    ListedUpstream, PeerEvent, RegisteredVm, RelayedCall, SourceEvent, SourceRequestKind,
+    StorageVm, UpstreamList,
 };
--- a/crates/core/src/input/relay.rs
+++ b/crates/core/src/input/relay.rs
@@ -62,7 +62,7 @@
 /// A VM with a disk, which stores charge records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct RecordKeeper {
+pub struct StorageVm {
     /// The name of the VM.
     pub vm: VmName,
     /// The address at which it receives records, as `ip:port`.
@@ -80,14 +80,14 @@
     /// The published configuration; `None` if there is none yet.
     Config {
         /// When the request was sent, on this VM's clock.
-        asked_us: u64,
+        sent_us: u64,
         /// The configuration as the store has it.
         fleet: Option<Arc<FleetConfig>>,
     },
     /// The upstream list.
     Upstreams {
         /// When the request was sent, on this VM's clock.
-        asked_us: u64,
+        sent_us: u64,
         /// The list as the store has it.
         list: Arc<UpstreamList>,
     },
@@ -96,7 +96,7 @@
         /// VMs that relay calls.
         relays: Vec<RegisteredVm>,
         /// VMs with a disk.
-        keepers: Vec<RecordKeeper>,
+        keepers: Vec<StorageVm>,
     },
     /// The result of a reservation of budget tokens.
     Reserved {
@@ -113,12 +113,12 @@
         records: Vec<BudgetRecord>,
     },
     /// A request failed or got no usable answer.
-    Failed(SourcePart),
+    Failed(SourceRequestKind),
 }
 
 /// The kind of a request to the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SourcePart {
+pub enum SourceRequestKind {
     /// Reads the published configuration.
     Config,
     /// Reads the upstream list.
@@ -133,16 +133,16 @@
 
 /// State received from another VM.
 #[derive(Debug, Clone)]
-pub enum PeerNews {
+pub enum PeerEvent {
     /// A summary that the VM sent.
     Summary(Box<Summary>),
     /// The snapshot that this VM requested.
     Snapshot {
         /// When it was requested, on this VM's clock.
-        asked_us: u64,
+        sent_us: u64,
         /// The other VM's state.
         snapshot: Box<Snapshot>,
     },
     /// A requested snapshot did not arrive.
-    NoSnapshot,
+    SnapshotFailed,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -39,12 +39,12 @@
     UpstreamName, VmName,
 };
 pub use input::{
-    AttemptEvent, Input, ListedUpstream, NewCall, PeerNews, PresentedKey, ProgramRequest,
-    ProgramRequestKind, ProgramTurn, RecordKeeper, RegisteredVm, RelayedCall, SourceEvent,
-    SourcePart, StoreEvent, Target, UpstreamList,
+    AttemptEvent, Input, ListedUpstream, NewCall, PeerEvent, PresentedKey, ProgramRequest,
+    ProgramRequestKind, ProgramTurn, RegisteredVm, RelayedCall, SourceEvent, SourceRequestKind,
+    StorageVm, StoreEvent, Target, UpstreamList,
 };
 pub use message::{PeerMessage, Snapshot, Summary};
 pub use output::{
-    Answered, Charge, Decision, Dispatch, EventForm, Execution, Output, Refusal, RefusalKind,
-    SourceRequest, StoreRequest,
+    Answered, Charge, Decision, Dispatch, Execution, Output, Refusal, RefusalKind, SourceRequest,
+    StoreRequest, StreamFormat,
 };
--- a/crates/core/src/message/mod.rs
+++ b/crates/core/src/message/mod.rs
@@ -17,7 +17,7 @@
 pub use membership::{Heartbeat, HeartbeatAnswer, MembershipMessage};
 pub use placement::{AttemptResult, Finish, InFlight, Place, PlacementMessage};
 pub use rates::{Demand, DemandKind, Grant, HeldShare, RatesMessage, ShareId, Unlent};
-pub use summary::{Echo, ListStamp, ProgramSpent, ProgramUse, Snapshot, Summary};
+pub use summary::{ListVersion, ProgramSpent, ProgramUse, Snapshot, Summary, SummaryAck};
 
 use derive_more::From;
 
--- a/crates/core/src/message/summary.rs
+++ b/crates/core/src/message/summary.rs
@@ -10,7 +10,7 @@
 use crate::ids::{
     AccountName, ContentDigest, Incarnation, ProgramKey, Revision, UpstreamName, VmName,
 };
-use crate::input::{RecordKeeper, UpstreamList};
+use crate::input::{StorageVm, UpstreamList};
 
 /// One VM's report of its state to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Number of the summary among those of the sender's process.
     pub round: u64,
     /// Acknowledges the last summary that arrived from the receiver; `None` if none did.
-    pub echo: Option<Echo>,
+    pub echo: Option<SummaryAck>,
     /// Whether the sender's process is about to end.
     pub is_leaving: bool,
     /// Whether the sender knows all programs that ran within their retention time.
@@ -38,7 +38,7 @@
     /// it knows of none.
     pub config_age_us: Option<u64>,
     /// The version of the upstream list in force on the sender.
-    pub list: ListStamp,
+    pub list: ListVersion,
     /// Age of the last read of the upstream list that the sender knows of, by any VM; `None` if
     /// it knows of none.
     pub list_age_us: Option<u64>,
@@ -59,7 +59,7 @@
 /// Acknowledges a summary of the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Echo {
+pub struct SummaryAck {
     /// The incarnation of the receiver's process.
     pub incarnation: Incarnation,
     /// The `round` of the acknowledged summary.
@@ -69,7 +69,7 @@
 /// Identifies a version of the upstream list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct ListStamp {
+pub struct ListVersion {
     /// The revision of the list.
     pub revision: u64,
     /// A digest of its upstreams.
@@ -113,7 +113,7 @@
     /// Counted memory losses since which `programs` is complete; `None` if it is incomplete.
     pub losses: Option<u32>,
     /// VMs with a disk.
-    pub keepers: Arc<Vec<RecordKeeper>>,
+    pub keepers: Arc<Vec<StorageVm>>,
 }
 
 /// What all VMs together have used of a program's budget.
--- a/crates/core/src/output/decision.rs
+++ b/crates/core/src/output/decision.rs
@@ -4,7 +4,7 @@
 use smallvec::SmallVec;
 
 use super::{
-    CrashEvidence, Execution, OrderAction, OverReason, PlacementReason, RefusalKind, RetryReason,
+    CloseReason, CrashEvidence, Execution, OrderAction, PlacementReason, RefusalKind, RetryReason,
     TakeoverSource,
 };
 use crate::ids::{
@@ -108,13 +108,13 @@
     },
     /// A program was closed.
     #[display("homes: {program} generation {generation} closed, {reason}")]
-    ProgramOver {
+    ProgramClosed {
         /// The closed program.
         program: ProgramKey,
         /// The generation that was closed.
         generation: u64,
         /// Reason for closing it.
-        reason: OverReason,
+        reason: CloseReason,
     },
     /// The home started to release a program's memory on an engine.
     #[display("homes: releasing memory of {program} generation {generation} at {upstream}")]
@@ -253,16 +253,16 @@
     },
     /// A message from a previous incarnation of a VM was ignored.
     #[display("membership: ignored a message of {vm} from before its restart")]
-    FormerStart {
+    PreviousIncarnation {
         /// The sender of the message.
         vm: VmName,
     },
     /// The store stopped answering requests for the view.
     #[display("membership: the store does not answer")]
-    StoreSilent,
+    StoreUnavailable,
     /// The store answers requests for the view again.
     #[display("membership: the store answers again")]
-    StoreAnswers,
+    StoreAvailable,
     /// This VM, a writer, promised to write no view for the duration of a lease.
     #[display("membership: promised to write no view while the store does not answer")]
     PromiseMade,
@@ -298,7 +298,7 @@
     },
     /// Another VM became reachable, for the first time or again.
     #[display("peers: {vm} is reachable, incarnation {incarnation}")]
-    PeerHeard {
+    PeerReachable {
         /// The other VM.
         vm: VmName,
         /// The incarnation of its process.
@@ -306,7 +306,7 @@
     },
     /// Another VM has sent nothing for too long and counts as unreachable.
     #[display("peers: {vm} silent for {silent_ms} ms")]
-    PeerSilent {
+    PeerUnreachable {
         /// The unreachable VM.
         vm: VmName,
         /// Time since its last message.
@@ -314,21 +314,21 @@
     },
     /// The record of an unreachable VM expired; the VM no longer counts as one that may serve.
     #[display("peers: {vm} expired")]
-    PeerForgotten {
+    PeerExpired {
         /// The VM whose record expired.
         vm: VmName,
     },
     /// The number of VMs that share the accounts' rates changed.
-    #[display("peers: {heard_vms} of {known_vms} VMs share the rates")]
-    GroupChanged {
+    #[display("peers: {reachable_vms} of {known_vms} VMs share the rates")]
+    ReachableVmsChanged {
         /// Reachable VMs, including this one.
-        heard_vms: u64,
+        reachable_vms: u64,
         /// VMs that may serve, reachable or not.
         known_vms: u64,
     },
     /// The usage of all programs was learned from another VM or from the store.
     #[display("budgets: learned the use of {programs} programs, memory lost {losses} times")]
-    ProgramsKnown {
+    ProgramUsageKnown {
         /// How often all VMs lost their memory within the retention time of programs.
         losses: u32,
         /// Number of programs whose usage is known.
@@ -394,13 +394,13 @@
         "source: the store does not answer, configuration read {} ago",
         config_age_ms.map_or_else(|| "never".to_owned(), |ms| format!("{ms} ms"))
     )]
-    SourceLost {
+    SourceUnavailable {
         /// Age of the last read of the configuration; `None` if there was none.
         config_age_ms: Option<u64>,
     },
     /// The store answers this VM's reads again.
     #[display("source: the store answers again")]
-    SourceBack,
+    SourceAvailable,
     /// A list of upstreams took effect.
     #[display("config: list {revision} in force with {upstreams} upstreams, {leaving} leaving")]
     ListInForce {
--- a/crates/core/src/output/mod.rs
+++ b/crates/core/src/output/mod.rs
@@ -10,7 +10,7 @@
 pub use charge::{Charge, ChargeOutcome};
 pub use decision::Decision;
 pub use order::{Order, OrderAction};
-pub use reason::{CrashEvidence, OverReason, PlacementReason, RetryReason, TakeoverSource};
+pub use reason::{CloseReason, CrashEvidence, PlacementReason, RetryReason, TakeoverSource};
 pub use refusal::{Execution, Refusal, RefusalKind};
 pub use source::SourceRequest;
 
@@ -78,8 +78,8 @@
         /// The summary to send.
         summary: Box<Summary>,
     },
-    /// Request another VM's snapshot and answer with `PeerNews`.
-    AskSnapshot {
+    /// Request another VM's snapshot and answer with `PeerEvent`.
+    RequestSnapshot {
         /// The receiver's address as `ip:port`.
         address: Arc<str>,
         /// Whether to include the programs that it knows.
@@ -130,12 +130,12 @@
     /// Deadline for the end of a stream that has started, on this VM's clock.
     pub stream_deadline_us: u64,
     /// How the response is streamed; `None` if it is not a stream of events.
-    pub events: Option<EventForm>,
+    pub events: Option<StreamFormat>,
 }
 
 /// Properties of a response that is streamed as events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EventForm {
+pub struct StreamFormat {
     /// Tokens in each event.
     pub tokens_per_event: u64,
     /// Whether an interrupted stream can be resumed after its last event.
--- a/crates/core/src/output/reason.rs
+++ b/crates/core/src/output/reason.rs
@@ -21,13 +21,13 @@
 
 /// Why a program was closed.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
-pub enum OverReason {
+pub enum CloseReason {
     /// The caller ended it.
     #[display("ended by its caller")]
     Ended,
     /// It had no calls for the duration of its lease.
     #[display("its lease ended")]
-    Lapsed,
+    LeaseExpired,
     /// It used up its budget of tokens, turns or wall time.
     #[display("its budget is used up")]
     Exhausted,
--- a/crates/core/src/output/source.rs
+++ b/crates/core/src/output/source.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::ProgramKey;
 
-/// A request to the platform's store; each one but `Stop` is answered by one `SourceEvent`.
+/// A request to the platform's store; each one but `MarkStopped` is answered by one `SourceEvent`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SourceRequest {
     /// Read the published configuration; stale replica reads are not allowed.
@@ -14,7 +14,7 @@
     /// Count one loss of the in-memory state of all VMs, and read the budget records.
     Losses,
     /// Mark a program's budget as used up; no event answers this request.
-    Stop {
+    MarkStopped {
         /// The program to mark.
         program: ProgramKey,
         /// The program's whole token budget.
--- a/crates/core/src/systems/budgets/mod.rs
+++ b/crates/core/src/systems/budgets/mod.rs
@@ -66,7 +66,7 @@
     let waiting = std::mem::take(&mut source.waiting);
     tick.work.budgets.calls.extend(waiting);
     tick.work.peers.announce = true;
-    tick.log(Decision::ProgramsKnown { programs, losses });
+    tick.log(Decision::ProgramUsageKnown { programs, losses });
 }
 
 /// Restores a program from its record in the store after all VMs lost their state.
@@ -250,10 +250,11 @@
         let budget_tokens = row.budget_tokens;
         if !std::mem::replace(&mut row.has_record, true) {
             // The record keeps the program stopped even if all VMs lose their state.
-            tick.outputs.push(Output::Source(SourceRequest::Stop {
-                program: program.clone(),
-                budget_tokens,
-            }));
+            tick.outputs
+                .push(Output::Source(SourceRequest::MarkStopped {
+                    program: program.clone(),
+                    budget_tokens,
+                }));
         }
         tick.work.peers.announce = true;
         tick.log(Decision::ProgramStopped {
--- a/crates/core/src/systems/config/upstream_list.rs
+++ b/crates/core/src/systems/config/upstream_list.rs
@@ -8,7 +8,7 @@
 use crate::config::ServiceConfig;
 use crate::ids::UpstreamName;
 use crate::input::{ListedUpstream, UpstreamList};
-use crate::message::ListStamp;
+use crate::message::ListVersion;
 use crate::output::Decision;
 
 /// Applies a list that this VM has read from the store.
@@ -55,7 +55,7 @@
 fn apply_list(tick: &mut Tick<'_>, list: Arc<UpstreamList>) {
     let digest = digest(&list.upstreams);
     let previous = tick.tables.source.stamp;
-    let stamp = ListStamp {
+    let stamp = ListVersion {
         revision: list.revision,
         digest,
     };
--- a/crates/core/src/systems/homes/budget.rs
+++ b/crates/core/src/systems/homes/budget.rs
@@ -6,7 +6,7 @@
 use super::super::Tick;
 use super::lifecycle;
 use crate::ids::ProgramKey;
-use crate::output::{Execution, OverReason, RefusalKind};
+use crate::output::{CloseReason, Execution, RefusalKind};
 use crate::tables::{Program, Turn};
 
 /// Limits of one program tree, from the configuration of its client account.
@@ -123,6 +123,6 @@
                 || tick.now_us >= root.started_us.saturating_add(limits.wall_us))
     };
     if tick.tables.programs.get(&root_key).is_some_and(is_used_up) {
-        lifecycle::close(tick, &root_key, OverReason::Exhausted);
+        lifecycle::close(tick, &root_key, CloseReason::Exhausted);
     }
 }
--- a/crates/core/src/systems/homes/lifecycle.rs
+++ b/crates/core/src/systems/homes/lifecycle.rs
@@ -4,7 +4,7 @@
 use super::{budget, release, takeover, tree, turn_order, wait_queue};
 use crate::ids::{CallId, ProgramKey, VmName};
 use crate::message::{Begin, Denied, HomesMessage};
-use crate::output::{Decision, Execution, OverReason, RefusalKind};
+use crate::output::{CloseReason, Decision, Execution, RefusalKind};
 use crate::tables::{Phase, Timer, Tombstone};
 
 /// How long a handled request to end a program is remembered.
@@ -44,7 +44,7 @@
             .timers
             .set(due_us, Timer::EndedRequestExpiry(request));
         if is_target {
-            close(tick, key, OverReason::Ended);
+            close(tick, key, CloseReason::Ended);
         }
     }
     tick.send(vm, HomesMessage::Ended { request });
@@ -53,24 +53,24 @@
 /// Closes a program and its sub-agents and releases their engine memory.
 ///
 /// Turns in progress are not interrupted; the rows of their programs stay until they end.
-pub(super) fn close(tick: &mut Tick<'_>, key: &ProgramKey, reason: OverReason) {
+pub(super) fn close(tick: &mut Tick<'_>, key: &ProgramKey, reason: CloseReason) {
     for key in tree::subtree(tick, key) {
         let Some(program) = tick.tables.programs.get_mut(&key) else {
             continue;
         };
         program.phase = match reason {
-            OverReason::Exhausted => Phase::Exhausted,
+            CloseReason::Exhausted => Phase::Exhausted,
             _ => Phase::Ended,
         };
         let generation = program.generation;
-        tick.log(Decision::ProgramOver {
+        tick.log(Decision::ProgramClosed {
             program: key.clone(),
             generation,
             reason,
         });
         match reason {
             // The row stays so that later calls are denied with the right reason.
-            OverReason::Exhausted => release::release_all(tick, &key),
+            CloseReason::Exhausted => release::release_all(tick, &key),
             _ => remove_if_idle(tick, &key),
         }
         wait_queue::reevaluate(tick, &key);
@@ -149,7 +149,7 @@
     let is_running = program.current.is_some() || program.links.first.is_some();
     let has_lapsed = program.lease_until_us <= tick.now_us && !is_running;
     if has_lapsed {
-        return close(tick, key, OverReason::Lapsed);
+        return close(tick, key, CloseReason::LeaseExpired);
     }
     if program.phase == Phase::Open && key.name.is_root() {
         budget::close_if_exhausted(tick, key);
--- a/crates/core/src/systems/homes/witness.rs
+++ b/crates/core/src/systems/homes/witness.rs
@@ -9,7 +9,7 @@
 use crate::ids::{Epoch, ProgramKey, UpstreamName, VmName};
 use crate::input::Continuation;
 use crate::message::{HomesMessage, RunningTurn, Witness};
-use crate::output::{Execution, OverReason, TakeoverSource};
+use crate::output::{CloseReason, Execution, TakeoverSource};
 use crate::tables::{Stage, Timer, View, WitnessRecord};
 
 /// Witnesses per message, which keeps it far below the limit of 256 KB.
@@ -244,6 +244,6 @@
         home::adopt_turn(tick, key, vm, state.generation, running);
     }
     if witness.is_ended {
-        lifecycle::close(tick, key, OverReason::Ended);
+        lifecycle::close(tick, key, CloseReason::Ended);
     }
 }
--- a/crates/core/src/systems/intake/mod.rs
+++ b/crates/core/src/systems/intake/mod.rs
@@ -34,7 +34,7 @@
         .get_or_insert_with(from, || Vm::new(incarnation, now_us));
     let known = member.map_or(row.incarnation, |m| m.incarnation.max(row.incarnation));
     if incarnation < known {
-        tick.log(Decision::FormerStart { vm: from.clone() });
+        tick.log(Decision::PreviousIncarnation { vm: from.clone() });
         return true;
     }
     if row.incarnation < incarnation {
@@ -97,7 +97,7 @@
             result,
         } => work.orders.results.push((upstream, token, result)),
         Input::Source(event) => work.source.events.push(event),
-        Input::News(news) => work.peers.news.push(news),
+        Input::PeerEvent(news) => work.peers.news.push(news),
         Input::Drain => match coordination {
             Coordination::Owners => work.membership.drain = true,
             Coordination::Peers => work.peers.drain = true,
--- a/crates/core/src/systems/membership/mod.rs
+++ b/crates/core/src/systems/membership/mod.rs
@@ -20,7 +20,7 @@
 mod views;
 
 use super::{Sender, Tick};
-use crate::input::{StoreEvent, VmStatus};
+use crate::input::{ListedVm, StoreEvent};
 use crate::message::MembershipMessage;
 use crate::tables::Timer;
 
@@ -30,7 +30,7 @@
     pub messages: Vec<(Sender, MembershipMessage)>,
     pub store: Vec<StoreEvent>,
     /// The platform's list of VMs, if a new one arrived.
-    pub vm_list: Option<Vec<VmStatus>>,
+    pub vm_list: Option<Vec<ListedVm>>,
     pub due_timers: Vec<Timer>,
     /// Whether this VM was asked to leave the fleet.
     pub drain: bool,
--- a/crates/core/src/systems/membership/platform.rs
+++ b/crates/core/src/systems/membership/platform.rs
@@ -6,7 +6,7 @@
 use super::suspicion;
 use crate::config::CoreSettings;
 use crate::ids::VmName;
-use crate::input::VmStatus;
+use crate::input::ListedVm;
 use crate::tables::hash_name;
 
 /// Additional delay for VMs that are no members, so that members replace the writers first.
@@ -22,7 +22,7 @@
 ///
 /// Only VMs that were listed before count as missing, since the list lags
 /// behind starting VMs.
-pub(super) fn update_list(tick: &mut Tick<'_>, vms: Vec<VmStatus>) {
+pub(super) fn update_list(tick: &mut Tick<'_>, vms: Vec<ListedVm>) {
     let platform = &mut tick.tables.membership.platform;
     let leaving = vms.iter().filter(|status| status.leaving);
     platform.leaving = leaving.map(|status| status.vm.clone()).collect();
--- a/crates/core/src/systems/membership/store.rs
+++ b/crates/core/src/systems/membership/store.rs
@@ -52,7 +52,7 @@
     store.not_before_us = 0;
     store.answered_us = Some(tick.now_us);
     if was_down {
-        tick.log(Decision::StoreAnswers);
+        tick.log(Decision::StoreAvailable);
     }
 }
 
@@ -173,7 +173,7 @@
     }
     // A single lost answer is not logged.
     if failures == 2 {
-        tick.log(Decision::StoreSilent);
+        tick.log(Decision::StoreUnavailable);
     }
 }
 
--- a/crates/core/src/systems/outcomes/retries.rs
+++ b/crates/core/src/systems/outcomes/retries.rs
@@ -34,7 +34,7 @@
     let Some(call) = tick.tables.calls.get_mut(&attempt.call) else {
         return;
     };
-    call.may_have_run |= !failure.is_not_run();
+    call.may_have_run |= !failure.did_not_run();
     if let Some(relay) = &mut call.relay {
         relay.forwarded_tokens += failure.answer_tokens();
     }
@@ -50,7 +50,7 @@
         return;
     };
     let verdict = check_retry(call, &failure, tick.now_us);
-    if !failure.is_not_run() {
+    if !failure.did_not_run() {
         let run = call.to_last_run(failure.answer_tokens(), charge_outcome(&failure));
         call.last_run = run.map(Box::new);
         pin_to_upstream(call, &upstream);
@@ -125,7 +125,7 @@
     if deadline_us.is_some_and(|deadline_us| now_us >= deadline_us) {
         return Err(RetryReason::TooLate);
     }
-    let reason = match (failure.is_not_run(), call.idempotent) {
+    let reason = match (failure.did_not_run(), call.idempotent) {
         (true, _) => RetryReason::NotRun,
         (false, true) => RetryReason::Idempotent,
         (false, false) => return Err(RetryReason::NotIdempotent),
@@ -192,7 +192,7 @@
     let Some(call) = tick.tables.calls.get(&attempt.call) else {
         return;
     };
-    let ran = if failure.is_not_run() {
+    let ran = if failure.did_not_run() {
         call.execution()
     } else {
         Execution::MayHaveRun
--- a/crates/core/src/systems/peers/group.rs
+++ b/crates/core/src/systems/peers/group.rs
@@ -30,7 +30,7 @@
     }
     for vm in expired {
         tick.tables.peering.peers.remove(&vm);
-        tick.log(Decision::PeerForgotten { vm });
+        tick.log(Decision::PeerExpired { vm });
     }
     update_counts(tick);
 }
@@ -43,7 +43,7 @@
     };
     peer.is_reachable = false;
     let silent_ms = now_us.saturating_sub(peer.last_contact_us()) / 1_000;
-    tick.log(Decision::PeerSilent {
+    tick.log(Decision::PeerUnreachable {
         vm: vm.clone(),
         silent_ms,
     });
@@ -84,15 +84,15 @@
     // A VM that announced its departure and then became silent has ended.
     let known = peers().filter(|(_, peer)| peer.is_reachable || !peer.is_leaving);
     let known_vms = 1 + known.count() as u64;
-    let heard_vms = 1 + peers().filter(|(_, peer)| peer.is_reachable).count() as u64;
+    let reachable_vms = 1 + peers().filter(|(_, peer)| peer.is_reachable).count() as u64;
     let is_before = |vm: &VmName, peer: &Peer| peer.is_reachable && !peer.is_leaving && vm < me;
     let rank = peers().filter(|(vm, peer)| is_before(vm, peer)).count() as u64;
-    (peering.known_vms, peering.reachable_vms, peering.rank) = (known_vms, heard_vms, rank);
+    (peering.known_vms, peering.reachable_vms, peering.rank) = (known_vms, reachable_vms, rank);
     if peering.usable_fraction() != previous {
         rates::rescale_buckets(tick);
-        let (heard_vms, known_vms) = tick.tables.peering.usable_fraction();
-        tick.log(Decision::GroupChanged {
-            heard_vms,
+        let (reachable_vms, known_vms) = tick.tables.peering.usable_fraction();
+        tick.log(Decision::ReachableVmsChanged {
+            reachable_vms,
             known_vms,
         });
     }
--- a/crates/core/src/systems/peers/mod.rs
+++ b/crates/core/src/systems/peers/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 use super::Tick;
-use crate::input::PeerNews;
+use crate::input::PeerEvent;
 use crate::output::Output;
 use crate::tables::Timer;
 
@@ -33,7 +33,7 @@
 /// Input collected for this system since its last run.
 #[derive(Debug, Default)]
 pub(crate) struct Work {
-    pub news: Vec<PeerNews>,
+    pub news: Vec<PeerEvent>,
     /// Whether the next round of summaries is due.
     pub is_due: bool,
     /// Whether this VM was asked to stop.
@@ -82,7 +82,7 @@
         return;
     }
     *requested_us = Some(now_us);
-    tick.outputs.push(Output::AskSnapshot {
+    tick.outputs.push(Output::RequestSnapshot {
         address,
         with_programs,
     });
--- a/crates/core/src/systems/peers/receiving.rs
+++ b/crates/core/src/systems/peers/receiving.rs
@@ -3,17 +3,17 @@
 use super::super::{Tick, budgets, config, outcomes, rates};
 use super::{group, request_snapshot};
 use crate::ids::VmName;
-use crate::input::{PeerNews, RegisteredVm};
+use crate::input::{PeerEvent, RegisteredVm};
 use crate::message::{Snapshot, Summary};
 use crate::output::Decision;
 use crate::tables::{NCALLS_PER_CALL, Peer, ProgramKnowledge};
 
 /// Dispatches input from another VM.
-pub(super) fn handle_event(tick: &mut Tick<'_>, event: PeerNews) {
+pub(super) fn handle_event(tick: &mut Tick<'_>, event: PeerEvent) {
     match event {
-        PeerNews::Summary(summary) => apply_summary(tick, *summary),
-        PeerNews::Snapshot { asked_us, snapshot } => apply_snapshot(tick, asked_us, *snapshot),
-        PeerNews::NoSnapshot => tick.tables.peering.snapshot_requested_us = None,
+        PeerEvent::Summary(summary) => apply_summary(tick, *summary),
+        PeerEvent::Snapshot { sent_us, snapshot } => apply_snapshot(tick, sent_us, *snapshot),
+        PeerEvent::SnapshotFailed => tick.tables.peering.snapshot_requested_us = None,
     }
 }
 
@@ -101,7 +101,7 @@
     }
     let was_heard = std::mem::replace(&mut peer.is_reachable, true);
     if !was_heard || is_restarted {
-        tick.log(Decision::PeerHeard {
+        tick.log(Decision::PeerReachable {
             vm: summary.from.clone(),
             incarnation: summary.incarnation,
         });
@@ -180,10 +180,10 @@
 }
 
 /// Applies the parts of a snapshot that are newer than this VM's state.
-fn apply_snapshot(tick: &mut Tick<'_>, asked_us: u64, snapshot: Snapshot) {
+fn apply_snapshot(tick: &mut Tick<'_>, sent_us: u64, snapshot: Snapshot) {
     tick.tables.peering.snapshot_requested_us = None;
-    // The sender answered after `asked_us`, so its ages were measured at that time or later.
-    let read_us = |age_us: Option<u64>| age_us.and_then(|age_us| asked_us.checked_sub(age_us));
+    // The sender answered after `sent_us`, so its ages were measured at that time or later.
+    let read_us = |age_us: Option<u64>| age_us.and_then(|age_us| sent_us.checked_sub(age_us));
     if let Some(fleet) = snapshot.fleet {
         let revision = fleet.revision;
         config::adopt(tick, fleet);
--- a/crates/core/src/systems/peers/sending.rs
+++ b/crates/core/src/systems/peers/sending.rs
@@ -6,7 +6,7 @@
 use crate::config::CoreSettings;
 use crate::ids::VmName;
 use crate::input::UpstreamList;
-use crate::message::{Echo, ProgramSpent, ProgramUse, Snapshot, Summary};
+use crate::message::{ProgramSpent, ProgramUse, Snapshot, Summary, SummaryAck};
 use crate::output::Output;
 use crate::tables::{Peer, ProgramKnowledge, Tables};
 
@@ -94,7 +94,7 @@
     (vm, peer): (&VmName, &Peer),
 ) -> Summary {
     let mut summary = common.clone();
-    summary.echo = peer.incarnation.map(|incarnation| Echo {
+    summary.echo = peer.incarnation.map(|incarnation| SummaryAck {
         incarnation,
         round: peer.round,
     });
--- a/crates/core/src/systems/placement/entry.rs
+++ b/crates/core/src/systems/placement/entry.rs
@@ -7,7 +7,7 @@
 use crate::ids::{AttemptId, CallId, PoolKey, UpstreamName};
 use crate::message::{AttemptResult, Finish, InFlight, Place, PlacementMessage};
 use crate::output::{
-    Decision, Dispatch, EventForm, Execution, Output, PlacementReason, RefusalKind,
+    Decision, Dispatch, Execution, Output, PlacementReason, RefusalKind, StreamFormat,
 };
 use crate::tables::{Call, Stage, Timer};
 
@@ -369,7 +369,7 @@
 }
 
 /// Returns the event format of a streamed response, `None` for other routes.
-fn event_form(route: &HostRoute, service: Option<&ServiceConfig>) -> Option<EventForm> {
+fn event_form(route: &HostRoute, service: Option<&ServiceConfig>) -> Option<StreamFormat> {
     let RouteKind::Stream { resumable } = route.kind else {
         return None;
     };
@@ -377,7 +377,7 @@
         Some(ServiceKind::Engine(engine)) => engine.tokens_per_event,
         _ => 0,
     };
-    Some(EventForm {
+    Some(StreamFormat {
         tokens_per_event,
         is_resumable: resumable,
     })
--- a/crates/core/src/systems/source/mod.rs
+++ b/crates/core/src/systems/source/mod.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use super::{Tick, budgets, config, peers};
-use crate::input::{SourceEvent, SourcePart};
+use crate::input::{SourceEvent, SourceRequestKind};
 use crate::output::{Decision, Output, SourceRequest};
 use crate::tables::{ProgramKnowledge, ReadState, Timer};
 
@@ -76,21 +76,21 @@
 /// Handles an answer of the store.
 fn handle_event(tick: &mut Tick<'_>, event: SourceEvent) {
     match event {
-        SourceEvent::Config { asked_us, fleet } => {
-            record_answer(tick, &SourcePart::Config);
+        SourceEvent::Config { sent_us, fleet } => {
+            record_answer(tick, &SourceRequestKind::Config);
             if let Some(fleet) = fleet {
                 config::adopt(tick, fleet);
             }
-            tick.tables.source.config.record_read(asked_us);
+            tick.tables.source.config.record_read(sent_us);
         }
-        SourceEvent::Upstreams { asked_us, list } => {
-            record_answer(tick, &SourcePart::Upstreams);
+        SourceEvent::Upstreams { sent_us, list } => {
+            record_answer(tick, &SourceRequestKind::Upstreams);
             record_outage_end(tick);
             config::adopt_store_list(tick, &list);
-            tick.tables.source.list.record_read(asked_us);
+            tick.tables.source.list.record_read(sent_us);
         }
         SourceEvent::Vms { relays, keepers } => {
-            record_answer(tick, &SourcePart::Vms);
+            record_answer(tick, &SourceRequestKind::Vms);
             let now_us = tick.now_us;
             tick.tables.source.vms.record_read(now_us);
             tick.tables.source.keepers = Arc::new(keepers);
@@ -98,7 +98,7 @@
             tick.work.peers.announce = true;
         }
         SourceEvent::Losses { losses, records } => {
-            record_answer(tick, &SourcePart::Losses);
+            record_answer(tick, &SourceRequestKind::Losses);
             if tick.tables.source.knowledge == ProgramKnowledge::Pending {
                 for record in &records {
                     budgets::restore_record(tick, record);
@@ -109,7 +109,7 @@
         SourceEvent::Reserved { program, tokens } => {
             tick.work.budgets.reservations.push((program, Some(tokens)));
         }
-        SourceEvent::Failed(SourcePart::Budget(program)) => {
+        SourceEvent::Failed(SourceRequestKind::Budget(program)) => {
             tick.work.budgets.reservations.push((program, None));
         }
         SourceEvent::Failed(part) => record_failure(tick, &part),
@@ -117,31 +117,31 @@
 }
 
 /// Returns the read state of a part; budgets have none.
-fn read_state<'a>(tick: &'a mut Tick<'_>, part: &SourcePart) -> Option<&'a mut ReadState> {
+fn read_state<'a>(tick: &'a mut Tick<'_>, part: &SourceRequestKind) -> Option<&'a mut ReadState> {
     let source = &mut tick.tables.source;
     match part {
-        SourcePart::Config => Some(&mut source.config),
-        SourcePart::Upstreams => Some(&mut source.list),
-        SourcePart::Vms => Some(&mut source.vms),
-        SourcePart::Losses => Some(&mut source.losses),
-        SourcePart::Budget(_) => None,
+        SourceRequestKind::Config => Some(&mut source.config),
+        SourceRequestKind::Upstreams => Some(&mut source.list),
+        SourceRequestKind::Vms => Some(&mut source.vms),
+        SourceRequestKind::Losses => Some(&mut source.losses),
+        SourceRequestKind::Budget(_) => None,
     }
 }
 
 /// Records an answer and resets the backoff.
-fn record_answer(tick: &mut Tick<'_>, part: &SourcePart) {
+fn record_answer(tick: &mut Tick<'_>, part: &SourceRequestKind) {
     if let Some(state) = read_state(tick, part) {
         state.requested_us = None;
         state.failures = 0;
         state.retry_us = 0;
     }
     if std::mem::take(&mut tick.tables.source.is_unreachable) {
-        tick.log(Decision::SourceBack);
+        tick.log(Decision::SourceAvailable);
     }
 }
 
 /// Records a failed request and backs off.
-fn record_failure(tick: &mut Tick<'_>, part: &SourcePart) {
+fn record_failure(tick: &mut Tick<'_>, part: &SourceRequestKind) {
     let now_us = tick.now_us;
     if let Some(state) = read_state(tick, part) {
         let delay_us = (MIN_BACKOFF_US << state.failures.min(4)).min(MAX_BACKOFF_US);
@@ -151,7 +151,7 @@
     }
     if !std::mem::replace(&mut tick.tables.source.is_unreachable, true) {
         let age_us = tick.tables.source.config.age_us(now_us);
-        tick.log(Decision::SourceLost {
+        tick.log(Decision::SourceUnavailable {
             config_age_ms: age_us.map(|age_us| age_us / 1_000),
         });
     }
@@ -175,10 +175,18 @@
     let now_us = tick.now_us;
     let age_us = read_age_us(tick.tables.peering.rank);
     let parts = [
-        (SourcePart::Config, SourceRequest::Config, age_us),
-        (SourcePart::Upstreams, SourceRequest::Upstreams, age_us),
-        (SourcePart::Vms, SourceRequest::Vms, vm_read_age_us(tick)),
-        (SourcePart::Losses, SourceRequest::Losses, 0),
+        (SourceRequestKind::Config, SourceRequest::Config, age_us),
+        (
+            SourceRequestKind::Upstreams,
+            SourceRequest::Upstreams,
+            age_us,
+        ),
+        (
+            SourceRequestKind::Vms,
+            SourceRequest::Vms,
+            vm_read_age_us(tick),
+        ),
+        (SourceRequestKind::Losses, SourceRequest::Losses, 0),
     ];
     let mut next_us = u64::MAX;
     for (part, request, age_us) in parts {
@@ -190,7 +198,7 @@
             next_us = next_us.min(due_us);
             continue;
         }
-        if part == SourcePart::Losses && !should_read_losses(tick) {
+        if part == SourceRequestKind::Losses && !should_read_losses(tick) {
             next_us = next_us.min(now_us + PEER_ANSWER_WAIT_US);
             continue;
         }
--- a/crates/core/src/tables/peer.rs
+++ b/crates/core/src/tables/peer.rs
@@ -5,7 +5,7 @@
 
 use super::Table;
 use crate::ids::{AccountName, Incarnation, Revision, UpstreamName, VmName};
-use crate::message::ListStamp;
+use crate::message::ListVersion;
 
 /// Rounds of summaries whose sending time is kept.
 const MAX_SENT_ROUNDS: usize = 64;
@@ -32,7 +32,7 @@
     /// Revision of the configuration in force there.
     pub revision: Revision,
     /// Stamp of the list of upstreams in force there.
-    pub list: ListStamp,
+    pub list: ListVersion,
     /// Number of its calls on each upstream.
     pub running: Vec<(UpstreamName, u32)>,
     /// Total of calls that it has admitted for each account.
@@ -54,7 +54,7 @@
             acked_round: 0,
             is_leaving: false,
             revision: Revision::default(),
-            list: ListStamp::default(),
+            list: ListVersion::default(),
             running: Vec::new(),
             admitted: Table::default(),
             has_admitted_baseline: false,
--- a/crates/core/src/tables/source.rs
+++ b/crates/core/src/tables/source.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use crate::ids::CallId;
-use crate::input::{RecordKeeper, UpstreamList};
-use crate::message::ListStamp;
+use crate::input::{StorageVm, UpstreamList};
+use crate::message::ListVersion;
 
 /// State of one object that is read from the store at intervals.
 #[derive(Debug, Clone, Copy, Default)]
@@ -74,7 +74,7 @@
     /// Registration of this VM and reads of the list of the others.
     pub vms: ReadState,
     /// VMs with a disk, as last reported by the store or another VM.
-    pub keepers: Arc<Vec<RecordKeeper>>,
+    pub keepers: Arc<Vec<StorageVm>>,
     /// Reads of the count of losses of memory.
     pub losses: ReadState,
     /// Whether the last request of this VM to the store had no answer.
@@ -84,7 +84,7 @@
     /// The list of upstreams in force.
     pub upstreams: Arc<UpstreamList>,
     /// Identifies the version of `upstreams`.
-    pub stamp: ListStamp,
+    pub stamp: ListVersion,
     /// Knowledge of programs that ran before this VM started.
     pub knowledge: ProgramKnowledge,
     /// Calls whose turns wait until `knowledge` is no longer pending.
--- a/crates/core/tests/old_incarnation.rs
+++ b/crates/core/tests/old_incarnation.rs
@@ -36,7 +36,7 @@
             "seed {seed}: {row:?}"
         );
         assert!(tables.newest_revision < Revision(99), "seed {seed}");
-        let ignored = Decision::FormerStart { vm: member.vm };
+        let ignored = Decision::PreviousIncarnation { vm: member.vm };
         let is_logged = mesh.trace.events.iter().any(|(_, event)| {
             matches!(event, TraceEvent::Decided { decision, .. } if *decision == ignored)
         });
--- a/crates/entry/src/control/output_dispatcher.rs
+++ b/crates/entry/src/control/output_dispatcher.rs
@@ -144,7 +144,7 @@
                 });
             }
             // Only under `Coordination::Peers`, which this daemon does not use.
-            Output::Source(_) | Output::SendSummary { .. } | Output::AskSnapshot { .. } => {}
+            Output::Source(_) | Output::SendSummary { .. } | Output::RequestSnapshot { .. } => {}
             Output::Probe(upstream) => {
                 self.pending_inputs
                     .extend(request_probe(&self.probe_requests, upstream, control));
--- a/crates/entry/src/store/vms.rs
+++ b/crates/entry/src/store/vms.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use knapweeddale_core::input::VmStatus;
+use knapweeddale_core::input::ListedVm;
 use knapweeddale_core::{Input, VmName};
 use knapweeddale_store::ObjectApi;
 
@@ -26,7 +26,7 @@
     loop {
         match api.vms().await {
             Ok(entries) => {
-                let vms = entries.into_iter().map(|entry| VmStatus {
+                let vms = entries.into_iter().map(|entry| ListedVm {
                     vm: VmName::from(entry.vm),
                     address: entry.address,
                     leaving: entry.leaving,
--- a/crates/relay/src/call/attempt.rs
+++ b/crates/relay/src/call/attempt.rs
@@ -7,7 +7,7 @@
 use http::response;
 use http::{HeaderMap, Response, StatusCode, header};
 use knapweeddale_core::input::{AttemptOutcome, Failure};
-use knapweeddale_core::{Dispatch, EventForm};
+use knapweeddale_core::{Dispatch, StreamFormat};
 use knapweeddale_runtime::Clock;
 use tokio::time::{Instant, timeout_at};
 
@@ -256,7 +256,7 @@
         &mut self,
         connection: &mut Connection,
         head: &ResponseHead,
-        form: EventForm,
+        form: StreamFormat,
         (sent, deadline): (Instant, Instant),
     ) -> Result<AttemptEnd, Failure> {
         let mut last = sent;
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -7,8 +7,8 @@
 
 use knapweeddale_core::input::{AttemptProgress, Failure};
 use knapweeddale_core::{
-    AccountName, AttemptEvent, CallId, Charge, Control, Decision, Dispatch, Input, Output,
-    RecordKeeper, Refusal, Snapshot, SourceRequest,
+    AccountName, AttemptEvent, CallId, Charge, Control, Decision, Dispatch, Input, Output, Refusal,
+    Snapshot, SourceRequest, StorageVm,
 };
 use knapweeddale_runtime::{ProbeRequest, request_probe};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -82,7 +82,7 @@
 pub(crate) struct SnapshotRequest {
     pub address: Arc<str>,
     pub with_programs: bool,
-    pub asked_us: u64,
+    pub sent_us: u64,
 }
 
 /// An open call, with the caller's ID of the request and the channel for its outputs.
@@ -103,7 +103,7 @@
     pub status: watch::Sender<Status>,
     keepers: watch::Sender<Vec<String>>,
     /// The list from which the published `keepers` were built.
-    published_keepers: Arc<Vec<RecordKeeper>>,
+    published_keepers: Arc<Vec<StorageVm>>,
     pub metrics: Arc<Metrics>,
     calls: HashMap<CallId, OpenCall>,
     /// Calls that ended in this tick; later outputs of the tick may still refer to them.
@@ -331,14 +331,14 @@
                 }
             }
             Output::SendSummary { address, summary } => self.send_summary(&address, &summary),
-            Output::AskSnapshot {
+            Output::RequestSnapshot {
                 address,
                 with_programs,
             } => {
                 let request = SnapshotRequest {
                     address,
                     with_programs,
-                    asked_us: now_us,
+                    sent_us: now_us,
                 };
                 if self.snapshot_requests.try_send(request).is_err() {
                     tracing::error!("peers: snapshot request dropped, the queue is full");
--- a/crates/relay/src/peers/datagrams.rs
+++ b/crates/relay/src/peers/datagrams.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use knapweeddale_core::{Input, PeerNews, Summary};
+use knapweeddale_core::{Input, PeerEvent, Summary};
 use tokio::net::UdpSocket;
 
 use crate::control::{InputSender, Message};
@@ -32,8 +32,11 @@
         metrics.count_received_summary(summary.is_ok());
         match summary {
             Ok(summary) => {
-                let news = PeerNews::Summary(Box::new(summary));
-                if inputs.try_send(Message::Input(Input::News(news))).is_err() {
+                let news = PeerEvent::Summary(Box::new(summary));
+                if inputs
+                    .try_send(Message::Input(Input::PeerEvent(news)))
+                    .is_err()
+                {
                     tracing::debug!("peers: summary dropped, the input queue is full");
                 }
             }
--- a/crates/relay/src/peers/snapshots.rs
+++ b/crates/relay/src/peers/snapshots.rs
@@ -6,7 +6,7 @@
 use jsonrpsee::http_client::HttpClient;
 use jsonrpsee::proc_macros::rpc;
 use jsonrpsee::types::ErrorObjectOwned;
-use knapweeddale_core::{Input, PeerNews, Snapshot};
+use knapweeddale_core::{Input, PeerEvent, Snapshot};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::control::{InputSender, Message, SnapshotRequest};
@@ -58,17 +58,17 @@
 ) {
     while let Some(request) = requests.recv().await {
         let news = match fetch_snapshot(&request).await {
-            Ok(snapshot) => PeerNews::Snapshot {
-                asked_us: request.asked_us,
+            Ok(snapshot) => PeerEvent::Snapshot {
+                sent_us: request.sent_us,
                 snapshot: Box::new(snapshot),
             },
             Err(error) => {
                 let address = &request.address;
                 tracing::warn!(%address, "peers: snapshot cannot be fetched ({error})");
-                PeerNews::NoSnapshot
+                PeerEvent::SnapshotFailed
             }
         };
-        inputs.send_input(Input::News(news)).await;
+        inputs.send_input(Input::PeerEvent(news)).await;
     }
 }
 
--- a/crates/relay/src/storage.rs
+++ b/crates/relay/src/storage.rs
@@ -10,7 +10,7 @@
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::server::{Server, ServerHandle};
 use jsonrpsee::types::ErrorObjectOwned;
-use knapweeddale_core::{DomainName, RecordKeeper, VmName};
+use knapweeddale_core::{DomainName, StorageVm, VmName};
 use knapweeddale_store::StoreError;
 use tokio::task::{JoinHandle, spawn_blocking};
 use tokio::time::{sleep, timeout};
@@ -256,7 +256,7 @@
         };
         let records = records.map_err(|error| unavailable(&error.to_string()))?;
         let others = self.register().await?;
-        let others: Vec<RecordKeeper> = others
+        let others: Vec<StorageVm> = others
             .into_iter()
             .filter(|row| row.role == Role::Storage && row.vm != self.settings.vm)
             .map(Registration::into_keeper)
--- a/crates/relay/src/store/mod.rs
+++ b/crates/relay/src/store/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use knapweeddale_core::tables::BudgetRecord;
-use knapweeddale_core::{Input, SourceEvent, SourcePart, SourceRequest};
+use knapweeddale_core::{Input, SourceEvent, SourceRequest, SourceRequestKind};
 use knapweeddale_runtime::Clock;
 use knapweeddale_store::StoreError;
 use tokio::sync::mpsc;
@@ -49,7 +49,7 @@
 
     /// Handles one request and sends the answer to the core.
     async fn handle_request(&self, request: SourceRequest) {
-        if let SourceRequest::Stop {
+        if let SourceRequest::MarkStopped {
             program,
             budget_tokens,
         } = &request
@@ -59,9 +59,9 @@
         }
         let part = source_part(&request);
         let purpose = purpose_label(&part);
-        let asked_us = self.clock.now_us();
+        let sent_us = self.clock.now_us();
         let started = Instant::now();
-        let answer = timeout(STORE_TIMEOUT, self.send_request(request, asked_us)).await;
+        let answer = timeout(STORE_TIMEOUT, self.send_request(request, sent_us)).await;
         let took = started.elapsed();
         let event = match answer {
             Ok(Ok(event)) => {
@@ -87,15 +87,15 @@
     async fn send_request(
         &self,
         request: SourceRequest,
-        asked_us: u64,
+        sent_us: u64,
     ) -> Result<SourceEvent, StoreError> {
         match request {
             SourceRequest::Config => Ok(SourceEvent::Config {
-                asked_us,
+                sent_us,
                 fleet: self.store.read_config().await?,
             }),
             SourceRequest::Upstreams => Ok(SourceEvent::Upstreams {
-                asked_us,
+                sent_us,
                 list: self.store.read_upstreams().await?,
             }),
             SourceRequest::Vms => {
@@ -109,8 +109,8 @@
                 })
             }
             // Handled by `handle_request`, since it has no answer.
-            SourceRequest::Stop { program, .. } => {
-                Ok(SourceEvent::Failed(SourcePart::Budget(program)))
+            SourceRequest::MarkStopped { program, .. } => {
+                Ok(SourceEvent::Failed(SourceRequestKind::Budget(program)))
             }
             SourceRequest::Losses => {
                 let (losses, records) = budgets::recover(&*self.store).await?;
@@ -137,25 +137,25 @@
 }
 
 /// Returns the part of the store's data that a request concerns.
-fn source_part(request: &SourceRequest) -> SourcePart {
+fn source_part(request: &SourceRequest) -> SourceRequestKind {
     match request {
-        SourceRequest::Config => SourcePart::Config,
-        SourceRequest::Upstreams => SourcePart::Upstreams,
-        SourceRequest::Vms => SourcePart::Vms,
-        SourceRequest::Losses => SourcePart::Losses,
-        SourceRequest::Reserve { program, .. } | SourceRequest::Stop { program, .. } => {
-            SourcePart::Budget(program.clone())
+        SourceRequest::Config => SourceRequestKind::Config,
+        SourceRequest::Upstreams => SourceRequestKind::Upstreams,
+        SourceRequest::Vms => SourceRequestKind::Vms,
+        SourceRequest::Losses => SourceRequestKind::Losses,
+        SourceRequest::Reserve { program, .. } | SourceRequest::MarkStopped { program, .. } => {
+            SourceRequestKind::Budget(program.clone())
         }
     }
 }
 
 /// Returns the label of a request in metrics and logs.
-fn purpose_label(part: &SourcePart) -> &'static str {
+fn purpose_label(part: &SourceRequestKind) -> &'static str {
     match part {
-        SourcePart::Config => "config",
-        SourcePart::Upstreams => "upstreams",
-        SourcePart::Vms => "vms",
-        SourcePart::Losses => "losses",
-        SourcePart::Budget(_) => "budget",
+        SourceRequestKind::Config => "config",
+        SourceRequestKind::Upstreams => "upstreams",
+        SourceRequestKind::Vms => "vms",
+        SourceRequestKind::Losses => "losses",
+        SourceRequestKind::Budget(_) => "budget",
     }
 }
--- a/crates/relay/src/store/registry.rs
+++ b/crates/relay/src/store/registry.rs
@@ -1,6 +1,6 @@
 //! Registration of VMs in the store, through which they find each other.
 
-use knapweeddale_core::{DomainName, RecordKeeper, RegisteredVm, VmName};
+use knapweeddale_core::{DomainName, RegisteredVm, StorageVm, VmName};
 use knapweeddale_store::{Object, ObjectApi, StoreError};
 use serde::{Deserialize, Serialize};
 
@@ -40,8 +40,8 @@
     }
 
     /// Converts the registration of a VM with a disk to the core's type.
-    pub fn into_keeper(self) -> RecordKeeper {
-        RecordKeeper {
+    pub fn into_keeper(self) -> StorageVm {
+        StorageVm {
             vm: VmName::from(self.vm),
             address: self.address,
             failure_domain: DomainName::from(self.failure_domain),
@@ -99,8 +99,8 @@
 }
 
 /// Returns the addresses of VMs with a disk, those in the given failure domain first.
-pub(crate) fn keeper_addresses(keepers: &[RecordKeeper], nearest: &DomainName) -> Vec<String> {
-    let mut keepers: Vec<&RecordKeeper> = keepers.iter().collect();
+pub(crate) fn keeper_addresses(keepers: &[StorageVm], nearest: &DomainName) -> Vec<String> {
+    let mut keepers: Vec<&StorageVm> = keepers.iter().collect();
     keepers.sort_by_key(|row| (row.failure_domain != *nearest, row.vm.clone()));
     keepers.into_iter().map(|row| row.address.clone()).collect()
 }
--- a/crates/testing/src/mesh/mod.rs
+++ b/crates/testing/src/mesh/mod.rs
@@ -31,7 +31,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use knapweeddale_core::input::VmStatus;
+use knapweeddale_core::input::ListedVm;
 use knapweeddale_core::{
     CallId, Control, CoreSettings, DomainName, FleetConfig, Incarnation, Input, NewCall,
     PeerMessage, ProgramKey, ProgramRequest, StoreRequest, UpstreamName, VmName,
@@ -60,7 +60,7 @@
         is_late: bool,
     },
     /// The platform publishes a list of VMs.
-    VmList(Vec<VmStatus>),
+    VmList(Vec<ListedVm>),
     /// Something happens at an engine with a batch.
     Engine { upstream: UpstreamName },
     /// The engines with batches report their load.
--- a/crates/testing/src/mesh/platform.rs
+++ b/crates/testing/src/mesh/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's list of VMs.
 
 use knapweeddale_core::VmName;
-use knapweeddale_core::input::VmStatus;
+use knapweeddale_core::input::ListedVm;
 
 use super::{Event, Mesh};
 
@@ -11,7 +11,7 @@
     /// Time after which the list shows that a VM started or went.
     pub lag_us: u64,
     /// The list that a VM gets when it starts.
-    pub(super) published: Vec<VmStatus>,
+    pub(super) published: Vec<ListedVm>,
 }
 
 impl Default for Platform {
@@ -24,8 +24,8 @@
 }
 
 /// Returns the entry of a VM.
-pub(super) fn status(vm: &VmName) -> VmStatus {
-    VmStatus {
+pub(super) fn status(vm: &VmName) -> ListedVm {
+    ListedVm {
         vm: vm.clone(),
         address: vm.to_string(),
         leaving: false,
--- a/crates/testing/src/relays/carry.rs
+++ b/crates/testing/src/relays/carry.rs
@@ -1,7 +1,7 @@
 //! Carries the outputs of relays to their receivers.
 
 use knapweeddale_core::input::{AttemptOutcome, AttemptProgress, ProbeState};
-use knapweeddale_core::{AttemptEvent, Dispatch, Input, Output, PeerNews, SourceRequest, Summary};
+use knapweeddale_core::{AttemptEvent, Dispatch, Input, Output, PeerEvent, SourceRequest, Summary};
 
 use super::{Passed, RelayFleet, Run};
 
@@ -26,7 +26,7 @@
         match output {
             Output::Source(request) => self.ask(vm, request),
             Output::SendSummary { address, summary } => self.send(vm, &address, *summary),
-            Output::AskSnapshot {
+            Output::RequestSnapshot {
                 address,
                 with_programs,
             } => self.snapshot(vm, &address, with_programs),
@@ -64,22 +64,22 @@
     /// Sends a summary.
     fn send(&mut self, vm: usize, address: &str, summary: Summary) {
         if let Some(to) = self.reached(vm, address) {
-            let news = PeerNews::Summary(Box::new(summary));
-            self.deliver(to, LINK_US, Input::News(news));
+            let news = PeerEvent::Summary(Box::new(summary));
+            self.deliver(to, LINK_US, Input::PeerEvent(news));
         }
     }
 
     /// Asks another VM for its state.
     fn snapshot(&mut self, vm: usize, address: &str, with_programs: bool) {
-        let asked_us = self.now_us;
+        let sent_us = self.now_us;
         let news = match self.reached(vm, address) {
-            Some(to) => PeerNews::Snapshot {
-                asked_us,
-                snapshot: Box::new(self.control(to).snapshot(asked_us, with_programs)),
+            Some(to) => PeerEvent::Snapshot {
+                sent_us,
+                snapshot: Box::new(self.control(to).snapshot(sent_us, with_programs)),
             },
-            None => PeerNews::NoSnapshot,
+            None => PeerEvent::SnapshotFailed,
         };
-        self.deliver(vm, 2 * LINK_US, Input::News(news));
+        self.deliver(vm, 2 * LINK_US, Input::PeerEvent(news));
     }
 
     /// Runs an attempt to its end.
--- a/crates/testing/src/relays/store.rs
+++ b/crates/testing/src/relays/store.rs
@@ -5,8 +5,8 @@
 
 use knapweeddale_core::tables::BudgetRecord;
 use knapweeddale_core::{
-    FleetConfig, ProgramKey, RegisteredVm, SourceEvent, SourcePart, SourceRequest, UpstreamList,
-    VmName,
+    FleetConfig, ProgramKey, RegisteredVm, SourceEvent, SourceRequest, SourceRequestKind,
+    UpstreamList, VmName,
 };
 
 /// VMs that restart within this time count the same loss of memory.
@@ -82,11 +82,11 @@
         *self.calls.entry(label).or_default() += 1;
         Some(match request {
             SourceRequest::Config => SourceEvent::Config {
-                asked_us: now_us,
+                sent_us: now_us,
                 fleet: Some(Arc::clone(&self.config)),
             },
             SourceRequest::Upstreams => SourceEvent::Upstreams {
-                asked_us: now_us,
+                sent_us: now_us,
                 list: Arc::clone(&self.list),
             },
             SourceRequest::Vms => {
@@ -101,7 +101,7 @@
                     keepers: Vec::new(),
                 }
             }
-            SourceRequest::Stop {
+            SourceRequest::MarkStopped {
                 program,
                 budget_tokens,
             } => {
@@ -140,14 +140,14 @@
 }
 
 /// Returns what a request is about.
-fn part_of(request: &SourceRequest) -> (SourcePart, &'static str) {
+fn part_of(request: &SourceRequest) -> (SourceRequestKind, &'static str) {
     match request {
-        SourceRequest::Config => (SourcePart::Config, "config"),
-        SourceRequest::Upstreams => (SourcePart::Upstreams, "upstreams"),
-        SourceRequest::Vms => (SourcePart::Vms, "vms"),
-        SourceRequest::Losses => (SourcePart::Losses, "losses"),
-        SourceRequest::Reserve { program, .. } | SourceRequest::Stop { program, .. } => {
-            (SourcePart::Budget(program.clone()), "budget")
+        SourceRequest::Config => (SourceRequestKind::Config, "config"),
+        SourceRequest::Upstreams => (SourceRequestKind::Upstreams, "upstreams"),
+        SourceRequest::Vms => (SourceRequestKind::Vms, "vms"),
+        SourceRequest::Losses => (SourceRequestKind::Losses, "losses"),
+        SourceRequest::Reserve { program, .. } | SourceRequest::MarkStopped { program, .. } => {
+            (SourceRequestKind::Budget(program.clone()), "budget")
         }
     }
 }
--- a/crates/token/src/encoding.rs
+++ b/crates/token/src/encoding.rs
@@ -7,16 +7,16 @@
 
 /// Why bytes could not be decoded.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
-pub enum EncodingError {
+pub enum DecodeError {
     /// The bytes end too early.
     #[display("the value is cut short")]
-    Short,
+    Truncated,
     /// Bytes follow the value.
     #[display("bytes follow the value")]
-    Long,
+    TrailingBytes,
     /// A text is not UTF-8.
     #[display("a text is not UTF-8")]
-    Text,
+    InvalidUtf8,
 }
 
 /// Encodes the fields of a value.
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// Fails if the bytes end too early.
-    pub fn byte(&mut self) -> Result<u8, EncodingError> {
+    pub fn byte(&mut self) -> Result<u8, DecodeError> {
         Ok(self.array::<1>()?[0])
     }
 
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Fails if the bytes end too early.
-    pub fn u32(&mut self) -> Result<u32, EncodingError> {
+    pub fn u32(&mut self) -> Result<u32, DecodeError> {
         Ok(u32::from_be_bytes(self.array()?))
     }
 
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// Fails if the bytes end too early.
-    pub fn u64(&mut self) -> Result<u64, EncodingError> {
+    pub fn u64(&mut self) -> Result<u64, DecodeError> {
         Ok(u64::from_be_bytes(self.array()?))
     }
 
@@ -104,8 +104,8 @@
     /// # Errors
     ///
     /// Fails if the bytes end too early.
-    pub fn array<const N: usize>(&mut self) -> Result<[u8; N], EncodingError> {
-        let (head, rest) = self.0.split_first_chunk().ok_or(EncodingError::Short)?;
+    pub fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        let (head, rest) = self.0.split_first_chunk().ok_or(DecodeError::Truncated)?;
         self.0 = rest;
         Ok(*head)
     }
@@ -115,11 +115,11 @@
     /// # Errors
     ///
     /// Fails if the bytes end too early or are not UTF-8.
-    pub fn text(&mut self) -> Result<&'a str, EncodingError> {
+    pub fn text(&mut self) -> Result<&'a str, DecodeError> {
         let len = usize::from(u16::from_be_bytes(self.array()?));
-        let (head, rest) = self.0.split_at_checked(len).ok_or(EncodingError::Short)?;
+        let (head, rest) = self.0.split_at_checked(len).ok_or(DecodeError::Truncated)?;
         self.0 = rest;
-        std::str::from_utf8(head).map_err(|_| EncodingError::Text)
+        std::str::from_utf8(head).map_err(|_| DecodeError::InvalidUtf8)
     }
 
     /// Checks that all bytes have been read.
@@ -127,11 +127,11 @@
     /// # Errors
     ///
     /// Fails if bytes are left.
-    pub fn end(self) -> Result<(), EncodingError> {
+    pub fn end(self) -> Result<(), DecodeError> {
         if self.0.is_empty() {
             Ok(())
         } else {
-            Err(EncodingError::Long)
+            Err(DecodeError::TrailingBytes)
         }
     }
 }
--- a/crates/token/src/lib.rs
+++ b/crates/token/src/lib.rs
@@ -26,7 +26,7 @@
 mod value;
 
 pub use content::content_digest;
-pub use encoding::{Decoder, Encoder, EncodingError};
+pub use encoding::{DecodeError, Decoder, Encoder};
 pub use history::HistoryChain;
 pub use key::{CallerKey, KeyError};
 pub use signer::{SecretError, Signer, TokenError, derive_secret, secrets_match};
--- a/crates/token/src/signer.rs
+++ b/crates/token/src/signer.rs
@@ -9,7 +9,7 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-use crate::encoding::{Decoder, Encoder, EncodingError};
+use crate::encoding::{DecodeError, Decoder, Encoder};
 use crate::value::SignedValue;
 
 /// Version of the encoding. Tokens of other versions are rejected.
@@ -85,7 +85,7 @@
         /// The header that carried the token.
         header: &'static str,
         /// What is wrong with the bytes.
-        source: EncodingError,
+        source: DecodeError,
     },
 }
 
@@ -166,7 +166,7 @@
 }
 
 /// Decodes version, kind and fields; `Err(None)` means another version or kind.
-fn read_value<T: SignedValue>(bytes: &[u8]) -> Result<T, Option<EncodingError>> {
+fn read_value<T: SignedValue>(bytes: &[u8]) -> Result<T, Option<DecodeError>> {
     let mut decoder = Decoder::new(bytes);
     let version = decoder.byte().map_err(Some)?;
     let kind = decoder.byte().map_err(Some)?;
--- a/crates/token/src/value.rs
+++ b/crates/token/src/value.rs
@@ -5,7 +5,7 @@
     AccountName, Epoch, HistoryDigest, Incarnation, ProgramKey, ProgramName, VmName,
 };
 
-use crate::encoding::{Decoder, Encoder, EncodingError};
+use crate::encoding::{DecodeError, Decoder, Encoder};
 
 /// A value that is given to callers in a signed token.
 pub trait SignedValue: Sized {
@@ -23,7 +23,7 @@
     /// # Errors
     ///
     /// Fails if the bytes are not an encoding of the value.
-    fn decode(decoder: &mut Decoder<'_>) -> Result<Self, EncodingError>;
+    fn decode(decoder: &mut Decoder<'_>) -> Result<Self, DecodeError>;
 }
 
 impl SignedValue for Continuation {
@@ -41,7 +41,7 @@
             .u64(self.epoch.0);
     }
 
-    fn decode(decoder: &mut Decoder<'_>) -> Result<Self, EncodingError> {
+    fn decode(decoder: &mut Decoder<'_>) -> Result<Self, DecodeError> {
         Ok(Self {
             program: decode_program(decoder)?,
             generation: decoder.u64()?,
@@ -69,7 +69,7 @@
             .u64(self.epoch.0);
     }
 
-    fn decode(decoder: &mut Decoder<'_>) -> Result<Self, EncodingError> {
+    fn decode(decoder: &mut Decoder<'_>) -> Result<Self, DecodeError> {
         Ok(Self {
             program: decode_program(decoder)?,
             generation: decoder.u64()?,
@@ -89,7 +89,7 @@
 }
 
 /// Decodes the account and name of a program.
-fn decode_program(decoder: &mut Decoder<'_>) -> Result<ProgramKey, EncodingError> {
+fn decode_program(decoder: &mut Decoder<'_>) -> Result<ProgramKey, DecodeError> {
     Ok(ProgramKey {
         account: AccountName::from(decoder.text()?),
         name: ProgramName::from(decoder.text()?),
