--- a/crates/core/src/config/host_route.rs
+++ b/crates/core/src/config/host_route.rs
@@ -86,15 +86,15 @@
 }
 
 impl HostRoute {
-    /// Selects a service by weight; the same `spread` always gives the same service.
+    /// Selects a service by weight; the same `spread_hash` always gives the same service.
     ///
     /// Returns `None` if the route has no backends.
-    pub fn select_backend(&self, spread: u64) -> Option<&ServiceName> {
+    pub fn select_backend(&self, spread_hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.backends.iter().map(|row| u64::from(row.weight)).sum();
         if total == 0 {
             return self.backends.first().map(|row| &row.service);
         }
-        let mut offset = spread % total;
+        let mut offset = spread_hash % total;
         for backend in &self.backends {
             let weight = u64::from(backend.weight);
             if offset < weight {
--- a/crates/core/src/input/call.rs
+++ b/crates/core/src/input/call.rs
@@ -120,7 +120,7 @@
     pub incarnation: Incarnation,
     /// The epoch in which the permit was issued.
     pub epoch: Epoch,
-    /// Sequence number of the permit.
+    /// Sequence number of the permit within the home's process.
     pub seq: u64,
 }
 
--- a/crates/core/src/input/relay.rs
+++ b/crates/core/src/input/relay.rs
@@ -18,7 +18,7 @@
     /// Time until which the caller waits, on this VM's clock.
     pub deadline_us: u64,
     /// Hash that selects one of the route's backends by weight.
-    pub spread: u64,
+    pub spread_hash: u64,
     /// The requested model; `None` for plain services.
     pub model: Option<ModelName>,
     /// The program; `None` if the call belongs to none.
@@ -73,8 +73,8 @@
 
 /// An answer of the platform's store to a `SourceRequest`.
 ///
-/// Answers to reads carry the time at which the request was sent: they include every write that
-/// the store acknowledged before then.
+/// The answers with the configuration or the upstream list carry the time at which the request
+/// was sent: they include every write that the store acknowledged before then.
 #[derive(Debug, Clone)]
 pub enum SourceEvent {
     /// The published configuration; `None` if there is none yet.
--- a/crates/core/src/message/placement.rs
+++ b/crates/core/src/message/placement.rs
@@ -66,7 +66,7 @@
         /// The number of crashes.
         crashes: u32,
     },
-    /// Tells all VMs to run a content no more.
+    /// Tells all VMs to quarantine a content, so that none runs it.
     Quarantine {
         /// The digest of the content.
         digest: ContentDigest,
--- a/crates/core/src/message/summary.rs
+++ b/crates/core/src/message/summary.rs
@@ -82,8 +82,7 @@
 pub struct ProgramUse {
     /// The program that has the budget.
     pub program: ProgramKey,
-    /// The first sequence of turns of the program, which is not that of a sub-agent; `None` if
-    /// unknown.
+    /// The sequence of turns that the program began with; `None` if unknown.
     pub main_line: Option<u64>,
     /// Total tokens that the sender has forwarded to callers.
     pub tokens: u64,
@@ -124,8 +123,7 @@
     pub program: ProgramKey,
     /// Its whole token budget.
     pub budget_tokens: u64,
-    /// The first sequence of turns of the program, which is not that of a sub-agent; `None` if
-    /// unknown.
+    /// The sequence of turns that the program began with; `None` if unknown.
     pub main_line: Option<u64>,
     /// Counted memory losses when the program was first seen; usage before them is unknown.
     pub losses: u32,
--- a/crates/core/src/output/mod.rs
+++ b/crates/core/src/output/mod.rs
@@ -142,7 +142,7 @@
     pub is_resumable: bool,
 }
 
-/// What the caller of a finished call needs for its next turn.
+/// A finished call that ran, with what its caller needs for the next turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answered {
     /// The finished call.
--- a/crates/core/src/output/reason.rs
+++ b/crates/core/src/output/reason.rs
@@ -111,7 +111,7 @@
     /// The call has reached its maximum number of attempts.
     #[display("too many attempts")]
     TooManyAttempts,
-    /// The call's deadline leaves no time for another attempt.
+    /// The call's deadline has passed.
     #[display("no time left")]
     TooLate,
     /// The pool's retry budget is used up.
--- a/crates/core/src/systems/admission/mod.rs
+++ b/crates/core/src/systems/admission/mod.rs
@@ -273,9 +273,9 @@
         .find(|route| path.starts_with(&*route.path_prefix))
         .ok_or(RefusalKind::RouteUnknown)?;
     let relayed = request.relayed.as_deref();
-    let spread = relayed.map_or(0, |relayed| relayed.spread);
+    let spread_hash = relayed.map_or(0, |relayed| relayed.spread_hash);
     let service = route
-        .select_backend(spread)
+        .select_backend(spread_hash)
         .ok_or(RefusalKind::RouteUnknown)?;
     let config = tables.services.get(service);
     let config = config.ok_or(RefusalKind::RouteUnknown)?;
--- a/crates/relay/src/front/service.rs
+++ b/crates/relay/src/front/service.rs
@@ -177,7 +177,7 @@
     let timeout_ms = head.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
     let relayed = RelayedCall::builder()
         .deadline_us(arrived_us + timeout_ms.saturating_sub(RESPONSE_MARGIN_MS) * 1_000)
-        .spread(spread_hash(head))
+        .spread_hash(spread_hash(head))
         .maybe_model(head.model.clone())
         .maybe_program(head.program.clone())
         .maybe_line(head.line)
--- a/crates/testing/src/relays/parts.rs
+++ b/crates/testing/src/relays/parts.rs
@@ -94,7 +94,7 @@
         let program = turn.map(|(program, ..)| program).or(self.program.as_ref());
         let relayed = RelayedCall::builder()
             .deadline_us(now_us + self.timeout_ms * 1_000)
-            .spread(id.seq)
+            .spread_hash(id.seq)
             .maybe_model(turn.map(|_| ModelName::from("m")))
             .maybe_program(program.map(|program| ProgramName::from(program.as_str())))
             .maybe_budget_tokens(turn.map(|(_, budget, ..)| *budget))
