--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! The client side of the exchange between VMs.
+//! Client for JSON-RPC requests to other VMs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use crate::server::SECRET_HEADER;
 use crate::wire::{self, Batch, KeptAnswer};
 
-/// Bytes of a request that do not belong to messages: names and JSON-RPC fields.
+/// Bytes reserved in each request body for the batch header and the JSON-RPC fields.
 const ENVELOPE_BYTES: usize = 1_024;
 
-/// The queues to other VMs.
+/// Outgoing message queues to other VMs.
 ///
 /// Each peer has one queue and one task that sends its messages in batches.
-/// [`Peers::send`] never waits: a message to a full queue is dropped and counted.
+/// [`Peers::send`] never blocks: a message to a full queue is dropped and counted.
 #[derive(Debug)]
 pub struct Peers {
     options: Arc<PeerOptions>,
@@ -34,25 +34,27 @@
     queues: HashMap<VmName, Queue>,
 }
 
-/// The queue to one peer.
+/// Outgoing message queue to one peer.
 #[derive(Debug)]
 struct Queue {
     address: String,
     messages: mpsc::Sender<PeerMessage>,
 }
 
-/// A VM did not answer a single request.
+/// A request outside the queues failed or timed out.
 #[derive(Debug, Display, Error)]
-#[display("no answer from the VM at {address} ({reason}); check that it runs with this secret")]
+#[display(
+    "no response from the VM at {address} ({reason}); check that it runs with the same secret"
+)]
 pub struct FetchError {
-    /// The address of the VM.
+    /// Address of the VM, as `ip:port`.
     pub address: String,
-    /// What went wrong.
+    /// Error of the JSON-RPC client.
     pub reason: String,
 }
 
 impl Peers {
-    /// Makes queues whose tasks run on a runtime.
+    /// Creates an empty set of queues whose send tasks will run on `runtime`.
     pub fn new(options: PeerOptions, counts: Arc<PeerCounts>, runtime: Handle) -> Self {
         Self {
             options: Arc::new(options),
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Queues a message for the VM at an address.
+    /// Enqueues a message for a VM; opens a new queue if the VM's address has changed.
     pub fn send(&mut self, to: &VmName, address: &str, message: PeerMessage) {
         if self.queues.get(to).is_none_or(|q| q.address != address) {
             let queue = self.open(address);
@@ -81,7 +83,7 @@
         self.queues.retain(|vm, _| is_member(vm));
     }
 
-    /// Starts the task of a queue.
+    /// Creates a queue and spawns the task that sends its messages.
     fn open(&self, address: &str) -> Queue {
         let (messages, receiver) = mpsc::channel(self.options.queue_len);
         let link = Link {
@@ -96,11 +98,11 @@
         }
     }
 
-    /// Sends messages once to the VM at an address whose name is not known.
+    /// Sends messages in one request, without a queue, to a VM whose name is not yet known.
     ///
     /// # Errors
     ///
-    /// Fails if the VM does not confirm them in time.
+    /// Returns an error if the VM does not confirm them within `request_timeout`.
     pub async fn deliver_once(
         options: &PeerOptions,
         address: &str,
@@ -125,11 +127,11 @@
         Ok(())
     }
 
-    /// Fetches the response that the VM at an address keeps for a call.
+    /// Fetches the cached response of a call from the VM at `address`; `None` if it has none.
     ///
     /// # Errors
     ///
-    /// Fails if the VM does not answer in time.
+    /// Returns an error if the VM does not respond within `request_timeout`.
     pub async fn fetch_answer(
         options: &PeerOptions,
         address: &str,
@@ -146,7 +148,7 @@
     }
 }
 
-/// The connection to one peer.
+/// Sends the queued messages of one peer in batches.
 struct Link {
     options: Arc<PeerOptions>,
     counts: Arc<PeerCounts>,
@@ -154,12 +156,12 @@
 }
 
 impl Link {
-    /// Sends messages until the queue is closed.
+    /// Sends batches until the queue is closed; pauses with exponential backoff after failures.
     async fn run(self, mut queue: mpsc::Receiver<PeerMessage>) {
         let mut client = None;
         let mut backoff = self.options.backoff_min;
-        let mut left_over = None;
-        while let Some((batch, bytes)) = self.next_batch(&mut queue, &mut left_over).await {
+        let mut deferred = None;
+        while let Some((batch, bytes)) = self.next_batch(&mut queue, &mut deferred).await {
             let messages = batch.messages.len() as u64;
             match self.deliver(&mut client, batch).await {
                 Ok(()) => {
@@ -169,7 +171,7 @@
                 }
                 Err(error) => {
                     self.counts.dropped_failed(messages);
-                    tracing::debug!(peer = self.address, %error, "peer: dropped {messages} messages");
+                    tracing::debug!(peer = self.address, %error, "peer: dropped {messages} messages of a failed request");
                     client = None;
                     tokio::time::sleep(backoff).await;
                     backoff = next_backoff(backoff, self.options.backoff_max);
@@ -178,11 +180,12 @@
         }
     }
 
-    /// Takes as many waiting messages as one request may carry.
+    /// Waits for a message and returns a batch of all queued messages that fit into one request,
+    /// with its size in bytes; a message that does not fit is left in `deferred`.
     async fn next_batch(
         &self,
         queue: &mut mpsc::Receiver<PeerMessage>,
-        left_over: &mut Option<(Value, usize)>,
+        deferred: &mut Option<(Value, usize)>,
     ) -> Option<(Batch, usize)> {
         let limit = (self.options.max_body_bytes as usize).saturating_sub(ENVELOPE_BYTES);
         let mut batch = Batch {
@@ -192,7 +195,7 @@
             messages: Vec::new(),
         };
         let mut bytes = 0;
-        if let Some((message, len)) = left_over.take() {
+        if let Some((message, len)) = deferred.take() {
             batch.messages.push(message);
             bytes = len;
         }
@@ -209,7 +212,7 @@
                 continue;
             };
             if bytes + len > limit {
-                *left_over = Some((message, len));
+                *deferred = Some((message, len));
                 return Some((batch, bytes));
             }
             batch.messages.push(message);
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Encodes a message; one that no request can carry is dropped and counted.
+    /// Encodes a message; one that exceeds `limit` bytes is dropped and counted.
     fn encode(&self, message: &PeerMessage, limit: usize) -> Option<(Value, usize)> {
         let encoded = wire::write(message).ok()?;
         let len = encoded.to_string().len() + 1;
@@ -225,14 +228,14 @@
             self.counts.dropped_large(1);
             tracing::warn!(
                 peer = self.address,
-                "peer: dropped a message of {len} bytes"
+                "peer: dropped a message of {len} bytes, limit {limit}"
             );
             return None;
         }
         Some((encoded, len))
     }
 
-    /// Sends one batch, over a new connection after a failure.
+    /// Sends one batch; creates a new client if the previous request failed.
     async fn deliver(
         &self,
         client: &mut Option<HttpClient>,
@@ -247,7 +250,7 @@
     }
 }
 
-/// Makes a client for the VM at an address; the connection opens with the first request.
+/// Builds a client for the VM at `address`; it connects on the first request.
 fn connect(options: &PeerOptions, address: &str) -> Result<HttpClient, ClientError> {
     let mut headers = HeaderMap::new();
     let mut secret = HeaderValue::from_str(&options.secret)
@@ -264,7 +267,7 @@
         .build(format!("http://{address}"))
 }
 
-/// Doubles a pause up to a limit.
+/// Doubles a backoff delay up to `limit`.
 fn next_backoff(backoff: Duration, limit: Duration) -> Duration {
     (backoff * 2).min(limit)
 }
--- a/crates/peer/src/counts.rs
+++ b/crates/peer/src/counts.rs
@@ -1,17 +1,17 @@
-//! Counts of messages and bytes.
+//! Counters of the messages, bytes and connections between VMs.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Defines counters with a snapshot of the same fields.
+/// Defines the counters, an increment method for each, and a snapshot with the same fields.
 macro_rules! counts {
     ($($(#[$doc:meta])* $name:ident),+ $(,)?) => {
-        /// Counts of messages and bytes since the start of the process.
+        /// Counters of peer traffic since the start of the process.
         #[derive(Debug, Default)]
         pub struct PeerCounts {
             $($name: AtomicU64,)+
         }
 
-        /// The counts at one moment.
+        /// Values of [`PeerCounts`] at one moment.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
         pub struct CountsSnapshot {
             $($(#[$doc])* pub $name: u64,)+
@@ -22,7 +22,7 @@
                 self.$name.fetch_add(by, Ordering::Relaxed);
             })+
 
-            /// Returns the counts so far.
+            /// Returns the current values.
             pub fn snapshot(&self) -> CountsSnapshot {
                 CountsSnapshot {
                     $($name: self.$name.load(Ordering::Relaxed),)+
@@ -35,20 +35,20 @@
 counts! {
     /// Messages that a peer confirmed.
     sent_messages,
-    /// Bytes of their bodies.
+    /// Encoded bytes of the messages that a peer confirmed.
     sent_bytes,
-    /// Messages dropped because the queue of their peer was full.
+    /// Messages dropped because the queue to their peer was full.
     dropped_full,
     /// Messages dropped because their request failed.
     dropped_failed,
-    /// Messages dropped because they exceed the largest body.
+    /// Messages dropped because they exceed the largest request body.
     dropped_large,
-    /// Messages received.
+    /// Messages received and decoded.
     received_messages,
-    /// Messages received that this version cannot read.
+    /// Messages received that this version cannot decode.
     unreadable_messages,
     /// Requests refused for a missing or wrong secret.
     refused_secret,
-    /// Connections closed after a silence.
+    /// Connections closed by the idle timeout.
     closed_idle,
 }
--- a/crates/peer/src/idle.rs
+++ b/crates/peer/src/idle.rs
@@ -1,4 +1,4 @@
-//! A connection that ends after a silence.
+//! Idle timeout for server connections.
 
 use std::io;
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 
 use crate::counts::PeerCounts;
 
-/// A connection whose reads fail after a silence.
+/// A TCP stream whose reads fail with `TimedOut` once no data arrives for `idle_timeout`.
 #[derive(Debug)]
 pub(crate) struct IdleStream {
     stream: TcpStream,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,10 @@
 //! Messages between the VMs of knapweeddale.
 //!
 //! VMs call each other by JSON-RPC over HTTP with two methods: `deliver`
-//! carries a batch of core messages, `fetch_answer` fetches a kept response.
+//! carries a batch of core messages, `fetch_answer` fetches a cached response.
 //! Every request carries the fleet's secret in a header. A message that
-//! cannot be delivered is dropped and counted; the core repeats what it needs.
+//! cannot be delivered is dropped and counted; the core sends again
+//! what it still needs.
 
 mod client;
 mod counts;
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -1,4 +1,4 @@
-//! Limits and identity of the exchange with other VMs.
+//! Settings of the connections to other VMs.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,42 +6,43 @@
 use bon::Builder;
 use knapweeddale_core::{Incarnation, VmName};
 
-/// Identity of this VM and limits of the exchange with other VMs.
+/// Identity of this VM, and limits and timeouts of the connections to other VMs.
 #[derive(Clone, Builder)]
 pub struct PeerOptions {
-    /// The name of this VM.
+    /// Name of this VM.
     pub vm: VmName,
-    /// The address at which other VMs reach this one, as `ip:port`.
+    /// Address at which other VMs reach this one, as `ip:port`.
     #[builder(into)]
     pub address: String,
-    /// The number of this start of the process.
+    /// Incarnation of this process; it changes with every start.
     pub incarnation: Incarnation,
-    /// The secret that all VMs share.
+    /// Secret shared by all VMs of the fleet.
     #[builder(into)]
     pub secret: String,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     #[builder(default = 256 * 1024)]
     pub max_body_bytes: u32,
-    /// Largest body of a response; a kept answer is the largest.
+    /// Maximum size of a response body; cached responses are the largest.
     #[builder(default = 2 * 1024 * 1024)]
     pub max_answer_bytes: u32,
-    /// Messages that wait for one peer. At 1 ms for a round trip, they are one batch or two.
+    /// Capacity of the queue to one peer; a full queue takes one or two batches at a round trip
+    /// of 1 ms.
     #[builder(default = 1_024)]
     pub queue_len: usize,
-    /// Longest wait for the response of a peer.
+    /// Timeout of a request to a peer, also for its connection attempt.
     #[builder(default = Duration::from_secs(2))]
     pub request_timeout: Duration,
-    /// Longest silence on an open connection before the server closes it.
+    /// Time without received data after which the server closes a connection.
     #[builder(default = Duration::from_secs(30))]
     pub idle_timeout: Duration,
-    /// First pause after a failed request.
+    /// Backoff delay after the first failed request.
     #[builder(default = Duration::from_millis(50))]
     pub backoff_min: Duration,
-    /// Longest pause after failed requests; below the default `suspect_ms`, so
-    /// that a peer that returns is reached before it is suspected again.
+    /// Maximum backoff delay; below the default `suspect_ms`, so that a peer that
+    /// returns is reached before it is suspected again.
     #[builder(default = Duration::from_millis(1_000))]
     pub backoff_max: Duration,
-    /// Connections accepted at once.
+    /// Maximum number of concurrent connections to the server.
     #[builder(default = 2_048)]
     pub max_connections: u32,
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The server side of the exchange between VMs.
+//! Server for JSON-RPC requests of other VMs.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,19 +20,19 @@
 use crate::options::PeerOptions;
 use crate::wire::{Batch, Delivery, KeptAnswer};
 
-/// The header that carries the fleet's secret.
+/// Header that carries the fleet's secret.
 pub(crate) const SECRET_HEADER: &str = "kwd-fleet-secret";
 
-/// What a VM does with requests of other VMs.
+/// Handler for the requests of other VMs.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Takes messages without waiting; what it cannot take is lost.
+    /// Handles received messages without blocking; messages that it cannot accept are lost.
     fn deliver(&self, delivery: Delivery);
 
-    /// Returns the kept response of a call whose content had this digest.
+    /// Returns the cached response of a call if the digest of its content matches.
     fn fetch_answer(&self, call: CallId, digest: ContentDigest) -> Option<KeptAnswer>;
 }
 
-/// A listener for requests of other VMs.
+/// JSON-RPC server for the requests of other VMs; it stops when dropped.
 #[derive(Debug)]
 pub struct PeerServer {
     address: SocketAddr,
@@ -41,11 +41,11 @@
 }
 
 impl PeerServer {
-    /// Serves requests of other VMs on a listener until the value is dropped.
+    /// Serves requests on `listener` until the returned value is dropped.
     ///
     /// # Errors
     ///
-    /// Fails if the listener has no local address.
+    /// Returns an error if the local address of the listener cannot be read.
     pub fn start<H: PeerHandler>(
         listener: TcpListener,
         options: PeerOptions,
@@ -76,7 +76,7 @@
                     tokio::time::sleep(options.backoff_min).await;
                     continue;
                 };
-                // Messages are small and answered at once; waiting for more bytes delays them.
+                // Messages are small and answered immediately; Nagle's algorithm would delay them.
                 let _ = stream.set_nodelay(true);
                 let stream =
                     IdleStream::new(stream, options.idle_timeout, Arc::clone(&server_counts));
@@ -108,12 +108,12 @@
         })
     }
 
-    /// Returns the address that other VMs reach.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the counts.
+    /// Returns the counters that the server updates.
     pub fn counts(&self) -> &PeerCounts {
         &self.counts
     }
@@ -121,25 +121,25 @@
 
 impl Drop for PeerServer {
     fn drop(&mut self) {
-        // Fails only if the server has stopped already.
+        // `stop` returns an error only if the server has already stopped.
         let _ = self.handle.stop();
     }
 }
 
-/// Compares the secret of a request in constant time.
+/// Checks the secret of a request in constant time.
 fn is_trusted<B>(request: &HttpRequest<B>, secret: &str) -> bool {
     let presented = request.headers().get(SECRET_HEADER);
     presented.is_some_and(|presented| secrets_match(presented.as_bytes(), secret.as_bytes()))
 }
 
-/// The response to a request without the secret.
+/// Builds the response to a request with a missing or wrong secret.
 fn forbidden() -> HttpResponse {
     let mut response = HttpResponse::new(HttpBody::empty());
     *response.status_mut() = jsonrpsee::server::http::response::denied().status();
     response
 }
 
-/// Registers the methods.
+/// Registers the JSON-RPC methods.
 fn methods<H: PeerHandler>(
     handler: Arc<H>,
     counts: Arc<PeerCounts>,
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -1,43 +1,43 @@
-//! The wire form of messages.
+//! JSON encoding of messages between VMs.
 
 use derive_more::{Display, Error};
 use knapweeddale_core::{Incarnation, PeerMessage, VmName};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Messages of one VM to another, in the order in which they were sent.
+/// Decoded messages of one request, in the order in which they were sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Delivery {
-    /// The sender.
+    /// Name of the sending VM.
     pub from: VmName,
-    /// Where the sender is reached; a VM that joins or leaves is in no view.
+    /// Address of the sender, to reply to; the view doesn't list a VM that is joining or leaving.
     pub address: String,
-    /// The start of the sender's process.
+    /// Incarnation of the sender's process.
     pub incarnation: Incarnation,
-    /// The messages.
+    /// Messages that this version could decode.
     pub messages: Vec<PeerMessage>,
 }
 
-/// A message cannot be written or read.
+/// A message could not be encoded.
 #[derive(Debug, Display, Error)]
-#[display("the message has no wire form ({source}); check that all VMs run compatible versions")]
+#[display("the message cannot be encoded ({source}); check that all VMs run compatible versions")]
 pub struct WireError {
     source: serde_json::Error,
 }
 
-/// The parameters of `deliver`.
+/// Parameter of the JSON-RPC method `deliver`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Batch {
     pub from: VmName,
     pub address: String,
     pub incarnation: Incarnation,
-    /// Each message is decoded on its own, so that one of a newer version does
-    /// not make the others unreadable during a rolling restart.
+    /// Encoded messages. Each is decoded on its own, so that one of a newer version
+    /// does not make the others unreadable during a rolling restart.
     pub messages: Vec<Value>,
 }
 
 impl Batch {
-    /// Decodes the messages; returns how many could not be read.
+    /// Decodes the messages; also returns how many could not be decoded.
     pub fn decode(self) -> (Delivery, u64) {
         let total = self.messages.len();
         let messages: Vec<_> = self.messages.into_iter().filter_map(read).collect();
@@ -52,29 +52,29 @@
     }
 }
 
-/// Returns the wire form of a message.
+/// Encodes a message as JSON.
 pub(crate) fn write(message: &PeerMessage) -> Result<Value, WireError> {
     serde_json::to_value(message).map_err(|source| WireError { source })
 }
 
-/// Reads a message; `None` if this version does not know it.
+/// Decodes a message; `None` if this version does not support it.
 fn read(value: Value) -> Option<PeerMessage> {
     serde_json::from_value(value).ok()
 }
 
-/// A kept response, as `fetch_answer` returns it.
+/// A cached response, as the JSON-RPC method `fetch_answer` returns it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The value of `content-type`.
+    /// Value of the `content-type` header.
     pub content_type: String,
-    /// The body.
+    /// Response body, encoded as base64.
     #[serde(with = "base64_text")]
     pub body: Vec<u8>,
 }
 
-/// Bytes as base64 text.
+/// Serializes bytes as base64 text.
 mod base64_text {
     use base64::Engine;
     use base64::engine::general_purpose::STANDARD;
--- a/crates/peer/tests/fleet_secret.rs
+++ b/crates/peer/tests/fleet_secret.rs
@@ -1,4 +1,4 @@
-//! Guards against messages of processes that do not know the fleet's secret.
+//! Guards against accepting requests that lack the fleet's secret.
 
 mod support;
 
--- a/crates/peer/tests/message_delivery.rs
+++ b/crates/peer/tests/message_delivery.rs
@@ -1,4 +1,4 @@
-//! Guards against lost order, unbounded queues and links that stay broken.
+//! Guards against reordered messages, unbounded queues and peers that are not reconnected.
 
 mod support;
 
@@ -57,7 +57,7 @@
 async fn full_queue_drops() {
     let (mut peers, counts) = peers(SECRET);
     let address = "127.0.0.1:9".parse().expect("address");
-    // No task runs between the sends, so the queue of 1,024 takes exactly its length.
+    // The send task can't run between the sends, so the queue accepts exactly its 1,024 messages.
     for revision in 0..1_030 {
         send(&mut peers, address, revision);
     }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A peer that hands what it receives to the test.
+//! A peer server that forwards received messages to the test, and helpers to send messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
