--- a/crates/entry/src/call/response_cache.rs
+++ b/crates/entry/src/call/response_cache.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use knapweeddale_core::{CallId, ContentDigest};
-use knapweeddale_peer::KeptAnswer;
+use knapweeddale_peer::CachedResponse;
 
 use super::reply::Reply;
 
@@ -73,7 +73,7 @@
     }
 }
 
-impl From<Reply> for KeptAnswer {
+impl From<Reply> for CachedResponse {
     fn from(reply: Reply) -> Self {
         let content_type = reply.header("content-type").unwrap_or_default().to_owned();
         Self {
@@ -84,8 +84,8 @@
     }
 }
 
-impl From<KeptAnswer> for Reply {
-    fn from(answer: KeptAnswer) -> Self {
+impl From<CachedResponse> for Reply {
+    fn from(answer: CachedResponse) -> Self {
         Self {
             status: answer.status,
             headers: vec![("content-type".to_owned(), answer.content_type)],
--- a/crates/entry/src/call/task.rs
+++ b/crates/entry/src/call/task.rs
@@ -296,7 +296,7 @@
             None => self.shared.response_cache.get(original, digest),
             Some(address) => {
                 let options = &self.shared.peer_options;
-                let fetched = Peers::fetch_answer(options, &address, original, digest).await;
+                let fetched = Peers::fetch_response(options, &address, original, digest).await;
                 match fetched {
                     Ok(answer) => answer.map(Reply::from),
                     Err(error) => {
--- a/crates/entry/src/inbox.rs
+++ b/crates/entry/src/inbox.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use knapweeddale_core::{CallId, ContentDigest};
-use knapweeddale_peer::{Delivery, KeptAnswer, PeerHandler};
+use knapweeddale_peer::{CachedResponse, Delivery, PeerHandler};
 
 use crate::control::Message;
 use crate::front::SharedState;
@@ -13,17 +13,17 @@
 pub(crate) struct Inbox<C>(pub Arc<SharedState<C>>);
 
 impl<C: Clock> PeerHandler for Inbox<C> {
-    fn deliver(&self, delivery: Delivery) {
+    fn handle_delivery(&self, delivery: Delivery) {
         let message = Message::Delivery(delivery);
         if self.0.inputs.try_send(message).is_err() {
             self.0.metrics.count_lost_delivery();
         }
     }
 
-    fn fetch_answer(&self, call: CallId, digest: ContentDigest) -> Option<KeptAnswer> {
+    fn fetch_response(&self, call: CallId, digest: ContentDigest) -> Option<CachedResponse> {
         self.0
             .response_cache
             .get(call, digest)
-            .map(KeptAnswer::from)
+            .map(CachedResponse::from)
     }
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -17,7 +17,7 @@
 use crate::counts::PeerCounts;
 use crate::options::PeerOptions;
 use crate::server::SECRET_HEADER;
-use crate::wire::{self, Batch, KeptAnswer};
+use crate::wire::{self, Batch, CachedResponse};
 
 /// Bytes reserved in each request body for the batch header and the JSON-RPC fields.
 const ENVELOPE_BYTES: usize = 1_024;
@@ -67,7 +67,7 @@
     /// Enqueues a message for a VM; opens a new queue if the VM's address has changed.
     pub fn send(&mut self, to: &VmName, address: &str, message: PeerMessage) {
         if self.queues.get(to).is_none_or(|q| q.address != address) {
-            let queue = self.open(address);
+            let queue = self.open_queue(address);
             self.queues.insert(to.clone(), queue);
         }
         let Some(queue) = self.queues.get(to) else {
@@ -84,14 +84,14 @@
     }
 
     /// Creates a queue and spawns the task that sends its messages.
-    fn open(&self, address: &str) -> Queue {
+    fn open_queue(&self, address: &str) -> Queue {
         let (messages, receiver) = mpsc::channel(self.options.queue_len);
-        let link = Link {
+        let task = SendTask {
             options: Arc::clone(&self.options),
             counts: Arc::clone(&self.counts),
             address: address.to_owned(),
         };
-        self.runtime.spawn(link.run(receiver));
+        self.runtime.spawn(task.run(receiver));
         Queue {
             address: address.to_owned(),
             messages,
@@ -118,10 +118,10 @@
             incarnation: options.incarnation,
             messages: messages
                 .iter()
-                .filter_map(|m| wire::write(m).ok())
+                .filter_map(|m| wire::encode(m).ok())
                 .collect(),
         };
-        let client = connect(options, address).map_err(error)?;
+        let client = build_client(options, address).map_err(error)?;
         let params = rpc_params![batch];
         let _: bool = client.request("deliver", params).await.map_err(error)?;
         Ok(())
@@ -132,30 +132,30 @@
     /// # Errors
     ///
     /// Returns an error if the VM does not respond within `request_timeout`.
-    pub async fn fetch_answer(
+    pub async fn fetch_response(
         options: &PeerOptions,
         address: &str,
         call: CallId,
         digest: ContentDigest,
-    ) -> Result<Option<KeptAnswer>, FetchError> {
+    ) -> Result<Option<CachedResponse>, FetchError> {
         let error = |reason: ClientError| FetchError {
             address: address.to_owned(),
             reason: reason.to_string(),
         };
-        let client = connect(options, address).map_err(error)?;
+        let client = build_client(options, address).map_err(error)?;
         let params = rpc_params![call, digest];
         client.request("fetch_answer", params).await.map_err(error)
     }
 }
 
 /// Sends the queued messages of one peer in batches.
-struct Link {
+struct SendTask {
     options: Arc<PeerOptions>,
     counts: Arc<PeerCounts>,
     address: String,
 }
 
-impl Link {
+impl SendTask {
     /// Sends batches until the queue is closed; pauses with exponential backoff after failures.
     async fn run(self, mut queue: mpsc::Receiver<PeerMessage>) {
         let mut client = None;
@@ -163,7 +163,7 @@
         let mut deferred = None;
         while let Some((batch, bytes)) = self.next_batch(&mut queue, &mut deferred).await {
             let messages = batch.messages.len() as u64;
-            match self.deliver(&mut client, batch).await {
+            match self.send_batch(&mut client, batch).await {
                 Ok(()) => {
                     self.counts.sent_messages(messages);
                     self.counts.sent_bytes(bytes as u64);
@@ -171,7 +171,11 @@
                 }
                 Err(error) => {
                     self.counts.dropped_failed(messages);
-                    tracing::debug!(peer = self.address, %error, "peer: dropped {messages} messages of a failed request");
+                    tracing::debug!(
+                        peer = self.address,
+                        %error,
+                        "peer: dropped {messages} messages of a failed request"
+                    );
                     client = None;
                     tokio::time::sleep(backoff).await;
                     backoff = next_backoff(backoff, self.options.backoff_max);
@@ -222,7 +226,7 @@
 
     /// Encodes a message; one that exceeds `limit` bytes is dropped and counted.
     fn encode(&self, message: &PeerMessage, limit: usize) -> Option<(Value, usize)> {
-        let encoded = wire::write(message).ok()?;
+        let encoded = wire::encode(message).ok()?;
         let len = encoded.to_string().len() + 1;
         if len > limit {
             self.counts.dropped_large(1);
@@ -236,14 +240,14 @@
     }
 
     /// Sends one batch; creates a new client if the previous request failed.
-    async fn deliver(
+    async fn send_batch(
         &self,
         client: &mut Option<HttpClient>,
         batch: Batch,
     ) -> Result<(), ClientError> {
         let client = match client {
             Some(client) => client,
-            empty => empty.insert(connect(&self.options, &self.address)?),
+            empty => empty.insert(build_client(&self.options, &self.address)?),
         };
         let _: bool = client.request("deliver", rpc_params![batch]).await?;
         Ok(())
@@ -251,7 +255,7 @@
 }
 
 /// Builds a client for the VM at `address`; it connects on the first request.
-fn connect(options: &PeerOptions, address: &str) -> Result<HttpClient, ClientError> {
+fn build_client(options: &PeerOptions, address: &str) -> Result<HttpClient, ClientError> {
     let mut headers = HeaderMap::new();
     let mut secret = HeaderValue::from_str(&options.secret)
         .map_err(|error| ClientError::Custom(error.to_string()))?;
@@ -261,7 +265,7 @@
         .request_timeout(options.request_timeout)
         .connect_timeout(options.request_timeout)
         .max_request_size(options.max_body_bytes)
-        .max_response_size(options.max_answer_bytes)
+        .max_response_size(options.max_response_bytes)
         .set_tcp_no_delay(true)
         .set_headers(headers)
         .build(format!("http://{address}"))
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -17,4 +17,4 @@
 pub use counts::{CountsSnapshot, PeerCounts};
 pub use options::PeerOptions;
 pub use server::{PeerHandler, PeerServer};
-pub use wire::{Delivery, KeptAnswer, WireError};
+pub use wire::{CachedResponse, Delivery, WireError};
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -24,7 +24,7 @@
     pub max_body_bytes: u32,
     /// Maximum size of a response body; cached responses are the largest.
     #[builder(default = 2 * 1024 * 1024)]
-    pub max_answer_bytes: u32,
+    pub max_response_bytes: u32,
     /// Capacity of the queue to one peer; a full queue takes one or two batches at a round trip
     /// of 1 ms.
     #[builder(default = 1_024)]
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -18,7 +18,7 @@
 use crate::counts::PeerCounts;
 use crate::idle::IdleStream;
 use crate::options::PeerOptions;
-use crate::wire::{Batch, Delivery, KeptAnswer};
+use crate::wire::{Batch, CachedResponse, Delivery};
 
 /// Header that carries the fleet's secret.
 pub(crate) const SECRET_HEADER: &str = "kwd-fleet-secret";
@@ -26,10 +26,10 @@
 /// Handler for the requests of other VMs.
 pub trait PeerHandler: Send + Sync + 'static {
     /// Handles received messages without blocking; messages that it cannot accept are lost.
-    fn deliver(&self, delivery: Delivery);
+    fn handle_delivery(&self, delivery: Delivery);
 
     /// Returns the cached response of a call if the digest of its content matches.
-    fn fetch_answer(&self, call: CallId, digest: ContentDigest) -> Option<KeptAnswer>;
+    fn fetch_response(&self, call: CallId, digest: ContentDigest) -> Option<CachedResponse>;
 }
 
 /// JSON-RPC server for the requests of other VMs; it stops when dropped.
@@ -53,12 +53,12 @@
         counts: Arc<PeerCounts>,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        let methods = methods(handler, Arc::clone(&counts))?;
+        let methods = build_rpc_module(handler, Arc::clone(&counts))?;
         let (stop, handle) = stop_channel();
         let config = ServerConfig::builder()
             .http_only()
             .max_request_body_size(options.max_body_bytes)
-            .max_response_body_size(options.max_answer_bytes)
+            .max_response_body_size(options.max_response_bytes)
             .max_connections(options.max_connections)
             .build();
         let builder = jsonrpsee::server::Server::builder()
@@ -84,16 +84,16 @@
                 let secret = options.secret.clone();
                 let counts = Arc::clone(&server_counts);
                 let service = tower::service_fn(move |request: HttpRequest<_>| {
-                    let is_trusted = is_trusted(&request, &secret);
-                    if !is_trusted {
+                    let is_authorized = has_valid_secret(&request, &secret);
+                    if !is_authorized {
                         counts.refused_secret(1);
                     }
                     let mut inner = inner.clone();
                     async move {
-                        if is_trusted {
+                        if is_authorized {
                             inner.call(request).await
                         } else {
-                            Ok(forbidden())
+                            Ok(build_forbidden_response())
                         }
                     }
                 });
@@ -127,20 +127,20 @@
 }
 
 /// Checks the secret of a request in constant time.
-fn is_trusted<B>(request: &HttpRequest<B>, secret: &str) -> bool {
+fn has_valid_secret<B>(request: &HttpRequest<B>, secret: &str) -> bool {
     let presented = request.headers().get(SECRET_HEADER);
     presented.is_some_and(|presented| secrets_match(presented.as_bytes(), secret.as_bytes()))
 }
 
 /// Builds the response to a request with a missing or wrong secret.
-fn forbidden() -> HttpResponse {
+fn build_forbidden_response() -> HttpResponse {
     let mut response = HttpResponse::new(HttpBody::empty());
     *response.status_mut() = jsonrpsee::server::http::response::denied().status();
     response
 }
 
 /// Registers the JSON-RPC methods.
-fn methods<H: PeerHandler>(
+fn build_rpc_module<H: PeerHandler>(
     handler: Arc<H>,
     counts: Arc<PeerCounts>,
 ) -> io::Result<RpcModule<(Arc<H>, Arc<PeerCounts>)>> {
@@ -151,14 +151,14 @@
             let (delivery, unreadable) = batch.decode();
             counts.received_messages(delivery.messages.len() as u64);
             counts.unreadable_messages(unreadable);
-            handler.deliver(delivery);
+            handler.handle_delivery(delivery);
             Ok::<_, ErrorObjectOwned>(true)
         })
         .map_err(io::Error::other)?;
     module
         .register_method("fetch_answer", |params, (handler, _), _| {
             let (call, digest): (CallId, ContentDigest) = params.parse()?;
-            Ok::<_, ErrorObjectOwned>(handler.fetch_answer(call, digest))
+            Ok::<_, ErrorObjectOwned>(handler.fetch_response(call, digest))
         })
         .map_err(io::Error::other)?;
     Ok(module)
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -40,7 +40,11 @@
     /// Decodes the messages; also returns how many could not be decoded.
     pub fn decode(self) -> (Delivery, u64) {
         let total = self.messages.len();
-        let messages: Vec<_> = self.messages.into_iter().filter_map(read).collect();
+        let messages: Vec<_> = self
+            .messages
+            .into_iter()
+            .filter_map(decode_message)
+            .collect();
         let unreadable = (total - messages.len()) as u64;
         let delivery = Delivery {
             from: self.from,
@@ -53,18 +57,18 @@
 }
 
 /// Encodes a message as JSON.
-pub(crate) fn write(message: &PeerMessage) -> Result<Value, WireError> {
+pub(crate) fn encode(message: &PeerMessage) -> Result<Value, WireError> {
     serde_json::to_value(message).map_err(|source| WireError { source })
 }
 
 /// Decodes a message; `None` if this version does not support it.
-fn read(value: Value) -> Option<PeerMessage> {
+fn decode_message(value: Value) -> Option<PeerMessage> {
     serde_json::from_value(value).ok()
 }
 
 /// A cached response, as the JSON-RPC method `fetch_answer` returns it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct CachedResponse {
     /// HTTP status code.
     pub status: u16,
     /// Value of the `content-type` header.
--- a/crates/peer/tests/fleet_secret.rs
+++ b/crates/peer/tests/fleet_secret.rs
@@ -12,15 +12,15 @@
 #[case::shorter("a secret")]
 #[case::empty("")]
 #[tokio::test]
-async fn refused(#[case] secret: &str) {
+async fn delivery_refused(#[case] secret: &str) {
     let (server, mut received) = serve("127.0.0.1:0").await;
-    let (mut wrong, counts) = peers(secret);
+    let (mut untrusted, counts) = peers(secret);
     while counts.snapshot().dropped_failed == 0 {
-        send(&mut wrong, server.address(), 1);
+        send(&mut untrusted, server.address(), 1);
         tokio::task::yield_now().await;
     }
-    let (mut right, _) = peers(SECRET);
-    send(&mut right, server.address(), 2);
+    let (mut trusted, _) = peers(SECRET);
+    send(&mut trusted, server.address(), 2);
     let delivery = received.recv().await.expect("server runs");
     assert_eq!(delivery.messages, [message(2)]);
     assert!(server.counts().snapshot().refused_secret > 0);
@@ -37,6 +37,6 @@
     };
     let options = options("another secret of some other fleet");
     let digest = ContentDigest::default();
-    let answer = Peers::fetch_answer(&options, &address, call, digest).await;
-    assert!(answer.is_err());
+    let response = Peers::fetch_response(&options, &address, call, digest).await;
+    assert!(response.is_err());
 }
--- a/crates/peer/tests/message_delivery.rs
+++ b/crates/peer/tests/message_delivery.rs
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn digests_survive() {
+async fn digests_round_trip() {
     let (server, mut received) = serve("127.0.0.1:0").await;
     let (mut peers, _) = peers(SECRET);
     let key = KeyConfig {
@@ -109,14 +109,14 @@
 }
 
 #[tokio::test]
-async fn answer_is_fetched() {
+async fn response_is_fetched() {
     let (server, _received) = serve("127.0.0.1:0").await;
     let address = server.address().to_string();
     for (seq, body) in [(7, Some(vec![0, 159, 255])), (8, None)] {
         let incarnation = Incarnation(1);
         let call = CallId { incarnation, seq };
         let digest = ContentDigest::default();
-        let answer = Peers::fetch_answer(&options(SECRET), &address, call, digest).await;
-        assert_eq!(answer.expect("peer answers").map(|a| a.body), body);
+        let response = Peers::fetch_response(&options(SECRET), &address, call, digest).await;
+        assert_eq!(response.expect("peer responds").map(|r| r.body), body);
     }
 }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use knapweeddale_core::message::ConfigMessage;
 use knapweeddale_core::{CallId, ContentDigest, Incarnation, PeerMessage, Revision, VmName};
 use knapweeddale_peer::{
-    Delivery, KeptAnswer, PeerCounts, PeerHandler, PeerOptions, PeerServer, Peers,
+    CachedResponse, Delivery, PeerCounts, PeerHandler, PeerOptions, PeerServer, Peers,
 };
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
@@ -16,15 +16,15 @@
 pub const SECRET: &str = "a secret that all VMs of the fleet share";
 
 #[derive(Debug)]
-pub struct Sink(mpsc::UnboundedSender<Delivery>);
+pub struct ChannelHandler(mpsc::UnboundedSender<Delivery>);
 
-impl PeerHandler for Sink {
-    fn deliver(&self, delivery: Delivery) {
+impl PeerHandler for ChannelHandler {
+    fn handle_delivery(&self, delivery: Delivery) {
         let _ = self.0.send(delivery);
     }
 
-    fn fetch_answer(&self, call: CallId, _: ContentDigest) -> Option<KeptAnswer> {
-        (call.seq == 7).then(|| KeptAnswer {
+    fn fetch_response(&self, call: CallId, _: ContentDigest) -> Option<CachedResponse> {
+        (call.seq == 7).then(|| CachedResponse {
             status: 200,
             content_type: "application/json".to_owned(),
             body: vec![0, 159, 255],
@@ -45,9 +45,9 @@
 pub async fn serve(address: &str) -> (PeerServer, mpsc::UnboundedReceiver<Delivery>) {
     let listener = TcpListener::bind(address).await.expect("port is free");
     let (sender, receiver) = mpsc::unbounded_channel();
-    let sink = Arc::new(Sink(sender));
+    let handler = Arc::new(ChannelHandler(sender));
     let counts = Arc::new(PeerCounts::default());
-    let server = PeerServer::start(listener, options(SECRET), sink, counts).expect("starts");
+    let server = PeerServer::start(listener, options(SECRET), handler, counts).expect("starts");
     (server, receiver)
 }
 
