--- a/crates/token/tests/signed_tokens.rs
+++ b/crates/token/tests/signed_tokens.rs
@@ -26,7 +26,7 @@
 
 proptest! {
     #[test]
-    fn value_survives(account in ".{0,40}", name in ".{0,40}", turn: u32, number: u64) {
+    fn value_round_trips(account in ".{0,40}", name in ".{0,40}", turn: u32, number: u64) {
         let value = continuation(account, name, turn, number);
         let token = signer().sign(&value);
         prop_assert_eq!(signer().verify::<Continuation>(&token), Ok(value));
