--- a/crates/entry/src/call/describe.rs
+++ b/crates/entry/src/call/describe.rs
@@ -5,7 +5,7 @@
 /// Returns the message for a kind of refusal, without the remedy, which is a field of its own.
 pub(super) fn describe_refusal(kind: RefusalKind) -> &'static str {
     match kind {
-        RefusalKind::KeyMissing => "the request carries no key",
+        RefusalKind::KeyMissing => "the request has no key",
         RefusalKind::KeyUnknown => "the key is not known",
         RefusalKind::KeyWithdrawn => "the key has been withdrawn",
         RefusalKind::Isolated => "this VM cannot receive withdrawals of keys at present",
@@ -14,21 +14,23 @@
         RefusalKind::ModelUnknown => "no service offers the model",
         RefusalKind::RouteUnknown => "the service or its route does not exist",
         RefusalKind::Quarantined => "the same request crashed several upstreams",
-        RefusalKind::OverRate => "the account is over its rate",
-        RefusalKind::TurnOutOfOrder => "a turn before this one has not ended",
+        RefusalKind::OverRate => "the account exceeds its rate limit",
+        RefusalKind::TurnOutOfOrder => "an earlier turn has not ended",
         RefusalKind::DuplicateTurn => "the turn is running or has ended",
         RefusalKind::StaleContinuation => "the continuation is older than the program",
         RefusalKind::HistoryMismatch => "the messages do not match the continuation",
-        RefusalKind::ContinuationMissing => "the turn needs the continuation of the one before",
-        RefusalKind::OverBudget => "the program has used its tokens, turns or time",
+        RefusalKind::ContinuationMissing => {
+            "the turn requires the continuation of the previous turn"
+        }
+        RefusalKind::OverBudget => "the program has used up its tokens, turns or time",
         RefusalKind::ProgramEnded => "the program has ended",
         RefusalKind::HomeMoving => "the program is moving to another VM",
-        RefusalKind::PermitRequired => "the request may not be repeated and carries no permit",
-        RefusalKind::PermitVoid => "the permit is void or has been used",
+        RefusalKind::PermitRequired => "the request may not be repeated and has no permit",
+        RefusalKind::PermitVoid => "the permit is invalid or has been used",
         RefusalKind::NoUpstream => "no upstream became free in time",
         RefusalKind::UpstreamFailed => "the upstream failed",
         RefusalKind::UpstreamSilent => "the upstream did not answer in time",
-        RefusalKind::Overloaded => "this VM has more calls than it can hold",
+        RefusalKind::Overloaded => "this VM is overloaded",
         RefusalKind::Draining => "this VM is stopping",
         RefusalKind::CallerGone => "the caller disconnected",
         RefusalKind::Malformed => "the request cannot be read",
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logging setup.
+//! Initialization of logging.
 
 use derive_more::{Display, Error};
 use knapweeddale_config::LogFormat;
@@ -6,42 +6,42 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Errors of the logging setup.
+/// Errors of initializing logging.
 #[derive(Debug, Display, Error)]
 pub enum LogError {
-    /// The filter cannot be parsed.
-    #[display("log_filter {filter:?} cannot be read ({source}); write a level such as \"info\"")]
+    /// The filter is invalid.
+    #[display("log_filter {filter:?} is invalid ({source}); write a level such as \"info\"")]
     Filter {
         /// The filter from the settings.
         filter: String,
         /// The parse error.
         source: tracing_subscriber::filter::ParseError,
     },
-    /// Logging is already set up in this process.
-    #[display("the log is set up already ({source}); set it up once")]
+    /// Logging is already initialized in this process.
+    #[display("logging is already initialized ({source}); initialize it once")]
     AlreadyInitialized {
-        /// The error of the `tracing` crate.
+        /// The error of the tracing library.
         source: SetGlobalDefaultError,
     },
 }
 
-/// Sets up logging to standard error.
+/// Initializes logging to standard error.
 ///
 /// # Errors
 ///
-/// Fails if the filter cannot be parsed or logging is already set up.
+/// Fails if the filter is invalid or logging is already initialized.
 pub fn init(format: LogFormat, filter: &str) -> Result<(), LogError> {
     init_with(format, filter, std::io::stderr)
 }
 
-/// Sets up logging to a writer.
+/// Initializes logging to a writer.
 ///
 /// Records of the `log` crate are not included: the HTTP server logs whole requests there,
 /// including the keys of callers.
 ///
 /// # Errors
 ///
-/// Fails if the filter cannot be parsed or logging is already set up.
+/// Fails if the filter is invalid or logging is already initialized.
 pub fn init_with<W>(format: LogFormat, filter: &str, writer: W) -> Result<(), LogError>
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
