--- a/crates/config/src/check/accounts.rs
+++ b/crates/config/src/check/accounts.rs
@@ -30,8 +30,8 @@
 
 /// Checks the limits of an account.
 fn check_limits(account: &AccountFile, findings: &mut Vec<Finding>) {
-    let mut limit = |field, value: String, remedy| {
-        findings.push(Finding::AccountLimit {
+    let mut report_limit = |field, value: String, remedy| {
+        findings.push(Finding::InvalidAccountLimit {
             account: account.account.clone(),
             field,
             value,
@@ -40,22 +40,22 @@
     };
     let rate = account.rate_calls_per_s;
     if !(0.001..=MAX_RATE_CALLS_PER_S).contains(&rate) {
-        limit("rate_calls_per_s", rate.to_string(), "0.001 to 1000000");
+        report_limit("rate_calls_per_s", rate.to_string(), "0.001 to 1000000");
     }
     if !(1..=MAX_BURST_CALLS).contains(&account.burst_calls) {
-        limit(
+        report_limit(
             "burst_calls",
             account.burst_calls.to_string(),
             "1 to 10000000",
         );
     }
     if account.weight_percent == 0 {
-        limit("weight_percent", "0".to_owned(), "1 or more");
+        report_limit("weight_percent", "0".to_owned(), "1 or more");
     }
     if account.program_turns == 0 {
-        limit("program_turns", "0".to_owned(), "1 or more");
+        report_limit("program_turns", "0".to_owned(), "1 or more");
     }
     if account.program_tokens == 0 {
-        limit("program_tokens", "0".to_owned(), "1 or more");
+        report_limit("program_tokens", "0".to_owned(), "1 or more");
     }
 }
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -12,7 +12,7 @@
 pub enum Finding {
     /// Two entries have the same name.
     #[display("{kind} {name:?} is defined twice; rename or remove one")]
-    Duplicate {
+    DuplicateName {
         /// What is defined, such as `service`.
         kind: &'static str,
         /// The name.
@@ -28,7 +28,7 @@
     },
     /// A model is offered by two services.
     #[display("model {model:?} is offered by {first:?} and {second:?}; keep it in one service")]
-    ModelTwice {
+    DuplicateModel {
         /// The model.
         model: String,
         /// The first service.
@@ -70,7 +70,7 @@
     #[display(
         "upstream {upstream:?} has min_running_calls {min_calls} and max_running_calls {max_calls}; use 1 <= min <= max"
     )]
-    RunningLimits {
+    InvalidRunningLimits {
         /// The upstream.
         upstream: String,
         /// The lowest limit.
@@ -80,7 +80,7 @@
     },
     /// Two routes match the same requests.
     #[display("service {service:?} has two routes for {method} {path:?}; merge them")]
-    RouteTwice {
+    DuplicateRoute {
         /// The service.
         service: String,
         /// The method, or `any method`.
@@ -100,7 +100,7 @@
     #[display(
         "service {service:?} has `{field}`, which only {kind} services have; remove it or change `kind`"
     )]
-    FieldOfOtherKind {
+    InapplicableField {
         /// The service.
         service: String,
         /// The field.
@@ -110,7 +110,7 @@
     },
     /// A limit of an account can never admit a call.
     #[display("account {account:?} has {field} {value}; use {remedy}")]
-    AccountLimit {
+    InvalidAccountLimit {
         /// The account.
         account: String,
         /// The field.
@@ -156,7 +156,7 @@
             findings.push(Finding::MalformedName { kind, name });
         } else if !seen.insert(name) {
             let name = name.to_owned();
-            findings.push(Finding::Duplicate { kind, name });
+            findings.push(Finding::DuplicateName { kind, name });
         }
     }
 }
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -30,7 +30,7 @@
     for service in services {
         for model in &service.models {
             if let Some(first) = offered.insert(model, &service.service) {
-                findings.push(Finding::ModelTwice {
+                findings.push(Finding::DuplicateModel {
                     model: model.clone(),
                     first: first.clone(),
                     second: service.service.clone(),
@@ -42,23 +42,23 @@
 
 /// Finds fields that do not fit the kind, and models without an upstream.
 fn check_kind(service: &ServiceFile, findings: &mut Vec<Finding>) {
-    let mut other_kind = |field, kind| {
-        findings.push(Finding::FieldOfOtherKind {
+    let mut report = |field, kind| {
+        findings.push(Finding::InapplicableField {
             service: service.service.clone(),
             field,
             kind,
         });
     };
     match service.kind {
-        ServiceKindFile::Engine if !service.routes.is_empty() => other_kind("routes", "plain"),
-        ServiceKindFile::Plain if !service.models.is_empty() => other_kind("models", "engine"),
-        ServiceKindFile::Plain if service.can_resume => other_kind("can_resume", "engine"),
+        ServiceKindFile::Engine if !service.routes.is_empty() => report("routes", "plain"),
+        ServiceKindFile::Plain if !service.models.is_empty() => report("models", "engine"),
+        ServiceKindFile::Plain if service.can_resume => report("can_resume", "engine"),
         _ => {}
     }
     for model in &service.models {
-        let loads =
+        let has_model =
             |upstream: &UpstreamFile| upstream.models.is_empty() || upstream.models.contains(model);
-        if !service.upstreams.iter().any(loads) {
+        if !service.upstreams.iter().any(has_model) {
             findings.push(Finding::ModelWithoutUpstream {
                 service: service.service.clone(),
                 model: model.clone(),
@@ -77,15 +77,15 @@
                 path: route.path.clone(),
             });
         }
-        let any = ["any method".to_owned()];
+        let any_method = ["any method".to_owned()];
         let methods = if route.methods.is_empty() {
-            &any[..]
+            &any_method[..]
         } else {
             &route.methods
         };
         for method in methods {
             if !seen.insert((method.clone(), route.path.clone())) {
-                findings.push(Finding::RouteTwice {
+                findings.push(Finding::DuplicateRoute {
                     service: service.service.clone(),
                     method: method.clone(),
                     path: route.path.clone(),
@@ -105,7 +105,7 @@
     }
     let (min_calls, max_calls) = (upstream.min_running_calls, upstream.max_running_calls);
     if min_calls == 0 || min_calls > max_calls {
-        findings.push(Finding::RunningLimits {
+        findings.push(Finding::InvalidRunningLimits {
             upstream: upstream.name.clone(),
             min_calls,
             max_calls,
--- a/crates/config/src/diff/mod.rs
+++ b/crates/config/src/diff/mod.rs
@@ -50,8 +50,8 @@
 /// assert_eq!(changes[0].to_string(), "~ account aller rate_calls_per_s: 10.0 -> 20.0");
 /// ```
 pub fn diff(before: &Document, after: &Document) -> Vec<Change> {
-    let before = entries(before);
-    let after = entries(after);
+    let before = entries_by_path(before);
+    let after = entries_by_path(after);
     let mut changes = Vec::new();
     for (path, value) in &before {
         match after.get(path) {
@@ -65,7 +65,7 @@
 }
 
 /// Returns accounts and services by kind and name.
-fn entries(document: &Document) -> BTreeMap<String, Value> {
+fn entries_by_path(document: &Document) -> BTreeMap<String, Value> {
     let accounts = document
         .accounts
         .iter()
--- a/crates/config/src/document/mod.rs
+++ b/crates/config/src/document/mod.rs
@@ -60,7 +60,7 @@
     fn add_file(&mut self, file: &Path) -> Result<(), ConfigError> {
         let name = file.to_string_lossy();
         let text =
-            std::fs::read_to_string(file).map_err(|error| ConfigError::unreadable(file, error))?;
+            std::fs::read_to_string(file).map_err(|error| ConfigError::from_io(file, error))?;
         if name.ends_with(".service.yaml") {
             self.services.push(ServiceFile::parse(&name, &text)?);
         } else if name.ends_with(KeysFile::SUFFIX) {
@@ -148,11 +148,10 @@
 
 /// Finds all service and account files below a folder.
 fn find_files(folder: &Path, files: &mut Vec<PathBuf>) -> Result<(), ConfigError> {
-    let entries =
-        std::fs::read_dir(folder).map_err(|error| ConfigError::unreadable(folder, error))?;
+    let entries = std::fs::read_dir(folder).map_err(|error| ConfigError::from_io(folder, error))?;
     for entry in entries {
         let path = entry
-            .map_err(|error| ConfigError::unreadable(folder, error))?
+            .map_err(|error| ConfigError::from_io(folder, error))?
             .path();
         let name = path.to_string_lossy();
         if path.is_dir() {
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -6,7 +6,7 @@
 
 /// A settings, service or account file that cannot be used.
 #[derive(Debug, Display, Error)]
-#[display("{}{}: {kind}", file.display(), line_text(*line))]
+#[display("{}{}: {kind}", file.display(), format_line(*line))]
 pub struct ConfigError {
     /// The file.
     pub file: PathBuf,
@@ -44,13 +44,13 @@
 }
 
 /// Formats a line number.
-fn line_text(line: Option<usize>) -> String {
+fn format_line(line: Option<usize>) -> String {
     line.map_or_else(String::new, |line| format!(":{line}"))
 }
 
 impl ConfigError {
     /// Makes an error from one of the YAML parser.
-    pub(crate) fn invalid(file: &str, error: &serde_norway::Error) -> Self {
+    pub(crate) fn from_yaml(file: &str, error: &serde_norway::Error) -> Self {
         Self {
             file: PathBuf::from(file),
             line: error.location().map(|location| location.line()),
@@ -59,7 +59,7 @@
     }
 
     /// Makes an error from one of the file system.
-    pub(crate) fn unreadable(file: impl Into<PathBuf>, error: std::io::Error) -> Self {
+    pub(crate) fn from_io(file: impl Into<PathBuf>, error: std::io::Error) -> Self {
         Self {
             file: file.into(),
             line: None,
--- a/crates/config/src/files/account.rs
+++ b/crates/config/src/files/account.rs
@@ -69,7 +69,7 @@
     ///
     /// Returns the line of the first field that is unknown, missing or of the wrong type.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
-        serde_norway::from_str(text).map_err(|error| ConfigError::invalid(file, &error))
+        serde_norway::from_str(text).map_err(|error| ConfigError::from_yaml(file, &error))
     }
 
     /// Converts the file to the core's form; keys with a malformed digest are left out.
--- a/crates/config/src/files/keys.rs
+++ b/crates/config/src/files/keys.rs
@@ -31,7 +31,7 @@
     ///
     /// Returns the line of the first field that is unknown, missing or of the wrong type.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
-        serde_norway::from_str(text).map_err(|error| ConfigError::invalid(file, &error))
+        serde_norway::from_str(text).map_err(|error| ConfigError::from_yaml(file, &error))
     }
 
     /// Reads a keys file, or makes an empty one if there is none.
@@ -46,7 +46,7 @@
                 account: account.to_owned(),
                 keys: Vec::new(),
             }),
-            Err(error) => Err(ConfigError::unreadable(file, error)),
+            Err(error) => Err(ConfigError::from_io(file, error)),
         }
     }
 
@@ -57,11 +57,11 @@
     /// Returns an error if the file cannot be written.
     pub fn save(&self, file: &Path) -> Result<(), ConfigError> {
         let text = serde_norway::to_string(self)
-            .map_err(|error| ConfigError::invalid(&file.to_string_lossy(), &error))?;
+            .map_err(|error| ConfigError::from_yaml(&file.to_string_lossy(), &error))?;
         // A crash between the two steps leaves the old file whole.
         let partial = file.with_extension("yaml.partial");
         std::fs::write(&partial, text)
             .and_then(|()| std::fs::rename(&partial, file))
-            .map_err(|error| ConfigError::unreadable(file, error))
+            .map_err(|error| ConfigError::from_io(file, error))
     }
 }
--- a/crates/config/src/files/service.rs
+++ b/crates/config/src/files/service.rs
@@ -120,27 +120,28 @@
     ///
     /// Returns the line of the first field that is unknown, missing or of the wrong type.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
-        serde_norway::from_str(text).map_err(|error| ConfigError::invalid(file, &error))
+        serde_norway::from_str(text).map_err(|error| ConfigError::from_yaml(file, &error))
     }
 
     /// Converts the file to the core's form.
     pub(crate) fn to_core(&self) -> ServiceConfig {
-        let models = |names: &[String]| names.iter().map(|n| ModelName::from(n.as_str())).collect();
+        let to_model_names =
+            |names: &[String]| names.iter().map(|n| ModelName::from(n.as_str())).collect();
         let kind = match self.kind {
             ServiceKindFile::Engine => ServiceKind::Engine(EngineConfig {
-                models: models(&self.models),
+                models: to_model_names(&self.models),
                 can_resume: self.can_resume,
                 ..EngineConfig::default()
             }),
             ServiceKindFile::Plain => ServiceKind::Plain,
         };
         let upstreams = self.upstreams.iter().map(|upstream| {
-            let loaded = if upstream.models.is_empty() {
+            let names = if upstream.models.is_empty() {
                 &self.models
             } else {
                 &upstream.models
             };
-            upstream.to_core(models(loaded))
+            upstream.to_core(to_model_names(names))
         });
         ServiceConfig::builder()
             .name(ServiceName::from(self.service.as_str()))
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -197,7 +197,7 @@
     /// Returns an error with the line if the file cannot be read or used.
     pub fn load(file: &Path) -> Result<Self, ConfigError> {
         let text =
-            std::fs::read_to_string(file).map_err(|error| ConfigError::unreadable(file, error))?;
+            std::fs::read_to_string(file).map_err(|error| ConfigError::from_io(file, error))?;
         Self::parse(&file.to_string_lossy(), &text)
     }
 
@@ -207,7 +207,7 @@
     ///
     /// Returns the line of the first field that is unknown, missing or of the wrong type.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
-        serde_norway::from_str(text).map_err(|error| ConfigError::invalid(file, &error))
+        serde_norway::from_str(text).map_err(|error| ConfigError::from_yaml(file, &error))
     }
 
     /// Formats the settings with all defaults filled in.
--- a/crates/config/src/settings/reference.rs
+++ b/crates/config/src/settings/reference.rs
@@ -7,7 +7,7 @@
 use super::Settings;
 
 /// Text before the table.
-const HEAD: &str = "# Settings of a VM
+const PAGE_HEADER: &str = "# Settings of a VM
 
 `knapweeddale-entry --settings FILE` reads these fields from a YAML file. Unknown fields are errors. `--check` checks a file and `--print-settings` prints it with all defaults filled in.
 
@@ -19,7 +19,7 @@
     /// Returns the reference of all settings as a Markdown page.
     pub fn reference() -> String {
         let schema = schemars::schema_for!(Self).to_value();
-        let mut page = HEAD.to_owned();
+        let mut page = PAGE_HEADER.to_owned();
         let Some(properties) = schema["properties"].as_object() else {
             return page;
         };
@@ -28,8 +28,8 @@
             let _ = writeln!(
                 page,
                 "| `{name}` | {} | {} |",
-                default_text(property),
-                meaning(property)
+                format_default(property),
+                format_description(property)
             );
         }
         page
@@ -37,7 +37,7 @@
 }
 
 /// Formats the default of a field.
-fn default_text(property: &Value) -> String {
+fn format_default(property: &Value) -> String {
     match property.get("default") {
         None => "required".to_owned(),
         Some(Value::Null) => "none".to_owned(),
@@ -46,7 +46,7 @@
 }
 
 /// Returns the description of a field on one line.
-fn meaning(property: &Value) -> String {
+fn format_description(property: &Value) -> String {
     let text = property["description"].as_str().unwrap_or_default();
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/crates/config/tests/vm_settings.rs
+++ b/crates/config/tests/vm_settings.rs
@@ -42,6 +42,6 @@
 #[test]
 fn printed_settings_parse() {
     let settings = Settings::parse("vm.yaml", MINIMAL).expect("minimal settings");
-    let again = Settings::parse("printed", &settings.to_yaml()).expect("printed settings");
-    assert_eq!(settings, again);
+    let reparsed = Settings::parse("printed", &settings.to_yaml()).expect("printed settings");
+    assert_eq!(settings, reparsed);
 }
