--- a/crates/config/src/check/accounts.rs
+++ b/crates/config/src/check/accounts.rs
@@ -1,15 +1,15 @@
-//! Checks of client accounts.
+//! Validation of client accounts.
 
 use super::{Finding, check_names};
 use crate::AccountFile;
 
-/// Highest rate of an account; well above the peak of the largest fleet.
+/// Maximum rate of an account, well above the peak load of the largest fleet.
 const MAX_RATE_CALLS_PER_S: f64 = 1_000_000.0;
 
-/// Highest burst of an account; keeps bucket levels within 64 bits.
+/// Maximum burst of an account, so that the level of its token bucket fits in 64 bits.
 const MAX_BURST_CALLS: u64 = 10_000_000;
 
-/// Checks all accounts.
+/// Reports invalid names, limits and key digests of accounts.
 pub(super) fn check(accounts: &[AccountFile], findings: &mut Vec<Finding>) {
     let names = accounts.iter().map(|account| account.account.as_str());
     check_names("account", names, findings);
@@ -28,7 +28,7 @@
     }
 }
 
-/// Checks the limits of an account.
+/// Reports limits of an account that are out of range.
 fn check_limits(account: &AccountFile, findings: &mut Vec<Finding>) {
     let mut report_limit = |field, value: String, remedy| {
         findings.push(Finding::InvalidAccountLimit {
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checks over all files of the fleet together.
+//! Validation of a document: rules within and across files.
 
 mod accounts;
 mod services;
@@ -7,53 +7,53 @@
 
 use crate::Document;
 
-/// Something in a document that keeps it from being published.
+/// Violation of a rule, which prevents the document from being published.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum Finding {
-    /// Two entries have the same name.
+    /// Two entries of one kind have the same name.
     #[display("{kind} {name:?} is defined twice; rename or remove one")]
     DuplicateName {
-        /// What is defined, such as `service`.
+        /// Kind of the entry, such as `service`.
         kind: &'static str,
-        /// The name.
+        /// Name of the entry.
         name: String,
     },
-    /// A name is empty or has characters that routes and logs cannot carry.
+    /// A name is empty or has characters that are not allowed in routes and logs.
     #[display("{kind} name {name:?} is malformed; use letters, digits, `-`, `_` and `.`")]
     MalformedName {
-        /// What is named.
+        /// Kind of the entry, such as `service`.
         kind: &'static str,
-        /// The name.
+        /// Name of the entry.
         name: String,
     },
     /// A model is offered by two services.
     #[display("model {model:?} is offered by {first:?} and {second:?}; keep it in one service")]
     DuplicateModel {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// The first service.
+        /// Service that offers the model first.
         first: String,
-        /// The second service.
+        /// Another service that offers it.
         second: String,
     },
-    /// An upstream has a model that its service does not offer.
+    /// An upstream loads a model that its service does not offer.
     #[display(
         "upstream {upstream:?} loads model {model:?}, which its service does not offer; add it to `models`"
     )]
     ModelNotOffered {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// The model.
+        /// Name of the model.
         model: String,
     },
-    /// A model has no upstream.
+    /// No upstream of the service loads one of its models.
     #[display(
         "model {model:?} of service {service:?} has no upstream; add one or remove the model"
     )]
     ModelWithoutUpstream {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The model.
+        /// Name of the model.
         model: String,
     },
     /// An address is not `ip:port`.
@@ -61,79 +61,79 @@
         "address {address:?} of upstream {upstream:?} is not `ip:port`; write an IP number and a port"
     )]
     MalformedAddress {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// The address.
+        /// Address as written in the file.
         address: String,
     },
-    /// The limits of an upstream contradict each other.
+    /// The call limits of an upstream are zero or contradict each other.
     #[display(
         "upstream {upstream:?} has min_running_calls {min_calls} and max_running_calls {max_calls}; use 1 <= min <= max"
     )]
     InvalidRunningLimits {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// The lowest limit.
+        /// Value of `min_running_calls`.
         min_calls: u32,
-        /// The highest limit.
+        /// Value of `max_running_calls`.
         max_calls: u32,
     },
-    /// Two routes match the same requests.
+    /// Two routes of a service have the same method and path.
     #[display("service {service:?} has two routes for {method} {path:?}; merge them")]
     DuplicateRoute {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The method, or `any method`.
+        /// HTTP method, or `any method` for a route without methods.
         method: String,
-        /// The path.
+        /// Path of the route.
         path: String,
     },
-    /// A path does not start with a slash.
+    /// The path of a route does not start with a slash.
     #[display("path {path:?} of service {service:?} does not start with `/`; add it")]
     MalformedPath {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The path.
+        /// Path of the route.
         path: String,
     },
-    /// A field does not fit the kind of the service.
+    /// A field does not apply to services of this kind.
     #[display(
         "service {service:?} has `{field}`, which only {kind} services have; remove it or change `kind`"
     )]
     InapplicableField {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The kind that has the field.
+        /// Kind of service to which the field applies.
         kind: &'static str,
     },
-    /// A limit of an account can never admit a call.
+    /// A limit of an account is out of range.
     #[display("account {account:?} has {field} {value}; use {remedy}")]
     InvalidAccountLimit {
-        /// The account.
+        /// Name of the account.
         account: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The value.
+        /// Value as written in the file.
         value: String,
-        /// What to write instead.
+        /// Range of allowed values.
         remedy: &'static str,
     },
-    /// A key's digest is malformed.
+    /// The digest of a key is not 64 hexadecimal digits.
     #[display(
         "key {id:?} of account {account:?} has a malformed sha256; write 64 hexadecimal digits"
     )]
     MalformedDigest {
-        /// The account.
+        /// Name of the account.
         account: String,
-        /// The key.
+        /// Identifier of the key.
         id: String,
     },
 }
 
 impl Document {
-    /// Checks all files together and returns everything that is wrong.
+    /// Validates the document and returns all violations.
     pub fn check(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         accounts::check(&self.accounts, &mut findings);
@@ -142,7 +142,7 @@
     }
 }
 
-/// Returns names that occur more than once or are malformed.
+/// Reports names that are malformed or occur more than once.
 fn check_names<'a>(
     kind: &'static str,
     names: impl Iterator<Item = &'a str>,
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -1,4 +1,4 @@
-//! Checks of services.
+//! Validation of services.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use super::{Finding, check_names};
 use crate::{ServiceFile, ServiceKindFile, UpstreamFile};
 
-/// Checks all services.
+/// Reports invalid names, models, routes and upstreams of services.
 pub(super) fn check(services: &[ServiceFile], findings: &mut Vec<Finding>) {
     let names = services.iter().map(|service| service.service.as_str());
     check_names("service", names, findings);
@@ -24,7 +24,7 @@
     }
 }
 
-/// Finds models that two services offer.
+/// Reports models that more than one service offers.
 fn check_models(services: &[ServiceFile], findings: &mut Vec<Finding>) {
     let mut offered = BTreeMap::new();
     for service in services {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Finds fields that do not fit the kind, and models without an upstream.
+/// Reports fields that do not apply to the kind of service, and models without an upstream.
 fn check_kind(service: &ServiceFile, findings: &mut Vec<Finding>) {
     let mut report = |field, kind| {
         findings.push(Finding::InapplicableField {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Finds malformed paths and routes that match the same requests.
+/// Reports malformed paths and duplicate routes.
 fn check_routes(service: &ServiceFile, findings: &mut Vec<Finding>) {
     let mut seen = BTreeSet::new();
     for route in &service.routes {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Checks one upstream.
+/// Reports an invalid address, call limits or models of an upstream.
 fn check_upstream(service: &ServiceFile, upstream: &UpstreamFile, findings: &mut Vec<Finding>) {
     if upstream.address.parse::<SocketAddr>().is_err() {
         findings.push(Finding::MalformedAddress {
--- a/crates/config/src/diff/mod.rs
+++ b/crates/config/src/diff/mod.rs
@@ -1,4 +1,4 @@
-//! The difference between two documents.
+//! Differences between two documents.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,34 @@
 
 use crate::Document;
 
-/// A change between two documents.
+/// A difference between two documents.
 #[derive(Debug, Display, Clone, PartialEq)]
 pub enum Change {
-    /// An account or service is new.
+    /// An account or service was added.
     #[display("+ {path}")]
     Added {
-        /// What is new, such as `account aller`.
+        /// Kind and name of the entry, such as `account aller`.
         path: String,
     },
-    /// An account or service is gone.
+    /// An account or service was removed.
     #[display("- {path}")]
     Removed {
-        /// What is gone.
+        /// Kind and name of the entry, such as `account aller`.
         path: String,
     },
-    /// A field has another value.
+    /// The value of a field was changed.
     #[display("~ {path}: {before} -> {after}")]
     Changed {
-        /// The field, such as `account aller rate_calls_per_s`.
+        /// Entry and field, such as `account aller rate_calls_per_s`.
         path: String,
-        /// The value before.
+        /// Previous value; null if the field was absent.
         before: Value,
-        /// The value after.
+        /// New value; null if the field is absent.
         after: Value,
     },
 }
 
-/// Returns the changes that lead from one document to another.
+/// Compares two documents; added entries come last.
 ///
 /// # Examples
 ///
@@ -64,7 +64,7 @@
     changes
 }
 
-/// Returns accounts and services by kind and name.
+/// Returns the JSON of each account and service by its path, such as `account aller`.
 fn entries_by_path(document: &Document) -> BTreeMap<String, Value> {
     let accounts = document
         .accounts
@@ -77,12 +77,12 @@
     accounts.chain(services).collect()
 }
 
-/// Converts an entry to JSON; entries hold nothing that JSON cannot carry.
+/// Converts an entry to JSON, which cannot fail for the types of a document.
 fn to_value(entry: &impl serde::Serialize) -> Value {
     serde_json::to_value(entry).unwrap_or(Value::Null)
 }
 
-/// Compares two values field by field.
+/// Compares two values field by field and appends the differences.
 fn diff_fields(path: &str, before: &Value, after: &Value, changes: &mut Vec<Change>) {
     if before == after {
         return;
--- a/crates/config/src/document/mod.rs
+++ b/crates/config/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! All files of the fleet as one document.
+//! Fleet configuration, collected from all files into one document.
 
 use std::path::{Path, PathBuf};
 
@@ -9,13 +9,13 @@
 use crate::error::ConfigErrorKind;
 use crate::{AccountFile, ConfigError, KeysFile, ServiceFile};
 
-/// Largest document that the store takes as one value.
+/// Maximum size of an encoded document; the store accepts no larger value.
 pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
-/// Endings of the names of files that are collected.
+/// Suffixes of the files that are collected; others are ignored.
 const SUFFIXES: [&str; 3] = [".service.yaml", ".account.yaml", KeysFile::SUFFIX];
 
-/// All files of the fleet, as stored under `fleet/config`.
+/// Configuration of the whole fleet, as stored under `fleet/config`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -33,7 +33,8 @@
     ///
     /// # Errors
     ///
-    /// Returns all files that cannot be read or parsed.
+    /// Returns an error for each file that cannot be read or parsed.
+    /// A folder that cannot be read ends the search with a single error.
     pub fn collect(folder: &Path) -> Result<Self, Vec<ConfigError>> {
         let mut files = Vec::new();
         find_files(folder, &mut files).map_err(|error| vec![error])?;
@@ -43,7 +44,7 @@
         let (keys, others): (Vec<_>, Vec<_>) = files
             .into_iter()
             .partition(|file| file.to_string_lossy().ends_with(KeysFile::SUFFIX));
-        // Keys are added to accounts, so the accounts come first.
+        // Keys files are read last, since their keys are added to accounts read before.
         for file in others.iter().chain(&keys) {
             if let Err(error) = document.add_file(file) {
                 errors.push(error);
@@ -56,7 +57,7 @@
         Ok(document)
     }
 
-    /// Reads one file and adds what it holds.
+    /// Parses a file by its suffix and adds its content to the document.
     fn add_file(&mut self, file: &Path) -> Result<(), ConfigError> {
         let name = file.to_string_lossy();
         let text =
@@ -71,7 +72,7 @@
         Ok(())
     }
 
-    /// Adds the keys of a keys file to their account.
+    /// Adds the keys of a keys file to the account that it names.
     fn add_keys(&mut self, name: &str, keys: KeysFile) -> Result<(), ConfigError> {
         let account = self
             .accounts
@@ -86,7 +87,7 @@
         Ok(())
     }
 
-    /// Orders accounts and services by name, so that equal fleets have equal documents.
+    /// Sorts accounts and services by name, so that the same entries always give the same document.
     fn sort(&mut self) {
         self.accounts.sort_by(|a, b| a.account.cmp(&b.account));
         self.services.sort_by(|a, b| a.service.cmp(&b.service));
@@ -95,7 +96,7 @@
 
 /// # Encoding
 impl Document {
-    /// Encodes the document as the value of the store's object.
+    /// Encodes the document as JSON, the form in which the store holds it.
     ///
     /// # Errors
     ///
@@ -117,11 +118,11 @@
         Ok(bytes)
     }
 
-    /// Decodes the value of the store's object.
+    /// Decodes a document that the store holds.
     ///
     /// # Errors
     ///
-    /// Returns an error if the value is not a document.
+    /// Returns an error if the bytes are not JSON or do not match the schema.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, ConfigError> {
         serde_json::from_slice(bytes).map_err(|error| ConfigError {
             file: PathBuf::from("fleet/config"),
@@ -130,7 +131,9 @@
         })
     }
 
-    /// Converts the document to the core's form at a revision.
+    /// Converts the document to the core's configuration.
+    ///
+    /// `revision` is the store's revision of the document.
     pub fn to_fleet(&self, revision: Revision) -> FleetConfig {
         FleetConfig {
             revision,
@@ -140,13 +143,13 @@
         }
     }
 
-    /// Returns the JSON schema of service and account files.
+    /// Returns the JSON schema of a document, which includes service and account files.
     pub fn schema() -> serde_json::Value {
         schemars::schema_for!(Self).to_value()
     }
 }
 
-/// Finds all service and account files below a folder.
+/// Appends all service, account and keys files below a folder, at any depth.
 fn find_files(folder: &Path, files: &mut Vec<PathBuf>) -> Result<(), ConfigError> {
     let entries = std::fs::read_dir(folder).map_err(|error| ConfigError::from_io(folder, error))?;
     for entry in entries {
--- a/crates/config/src/files/account.rs
+++ b/crates/config/src/files/account.rs
@@ -1,4 +1,4 @@
-//! Account files.
+//! Account files (`*.account.yaml`).
 
 use knapweeddale_core::{AccountConfig, AccountName, KeyConfig, KeyId, Secret256};
 use schemars::JsonSchema;
@@ -6,42 +6,42 @@
 
 use crate::ConfigError;
 
-/// A client account, as in `*.account.yaml`.
+/// A client account with its limits and keys, as in `*.account.yaml`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct AccountFile {
-    /// The account's name, unique over the fleet.
+    /// Name of the account, unique in the fleet.
     pub account: String,
-    /// Calls a second over all VMs; thousandths are kept.
+    /// Calls per second over all VMs, rounded to thousandths.
     pub rate_calls_per_s: f64,
-    /// Calls admitted at once over all VMs.
+    /// Maximum burst over all VMs, in calls.
     pub burst_calls: u64,
-    /// Weight of the account when upstreams are shared, in percent.
+    /// Weight of the account in fair sharing of upstreams, in percent.
     #[serde(default = "default_weight_percent")]
     pub weight_percent: u32,
-    /// Tokens that one program may use.
+    /// Maximum number of tokens per program.
     #[serde(default = "default_program_tokens")]
     pub program_tokens: u64,
-    /// Turns that one program may take.
+    /// Maximum number of turns per program.
     #[serde(default = "default_program_turns")]
     pub program_turns: u32,
-    /// Seconds that one program may take.
+    /// Maximum duration of a program, in seconds.
     #[serde(default = "default_program_wall_s")]
     pub program_wall_s: u64,
-    /// Keys of the account, by digest.
+    /// Keys that authenticate calls of the account.
     #[serde(default)]
     pub keys: Vec<KeyFile>,
 }
 
-/// A caller's key, stored by digest.
+/// A caller's key; only its digest is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct KeyFile {
-    /// The public part of the key.
+    /// Public part of the key, which identifies it.
     pub id: String,
-    /// The SHA-256 digest of the whole key in hexadecimal.
+    /// SHA-256 digest of the whole key, as 64 hexadecimal digits.
     pub sha256: String,
-    /// Whether the key has been withdrawn.
+    /// Whether the key is withdrawn and no longer accepted.
     #[serde(default)]
     pub withdrawn: bool,
 }
@@ -63,16 +63,16 @@
 }
 
 impl AccountFile {
-    /// Reads an account from the text of a file.
+    /// Parses the text of an account file; `file` names it in errors.
     ///
     /// # Errors
     ///
-    /// Returns the line of the first field that is unknown, missing or of the wrong type.
+    /// Returns an error with the line of the first unknown, missing or mistyped field.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
         serde_norway::from_str(text).map_err(|error| ConfigError::from_yaml(file, &error))
     }
 
-    /// Converts the file to the core's form; keys with a malformed digest are left out.
+    /// Converts the account to the core's configuration, without keys whose digest is malformed.
     pub(crate) fn to_core(&self) -> AccountConfig {
         AccountConfig::builder()
             .name(AccountName::from(self.account.as_str()))
@@ -86,14 +86,14 @@
             .build()
     }
 
-    /// Returns the rate in thousandths of a call a second.
+    /// Returns the rate in thousandths of a call per second.
     pub(crate) fn rate_mcalls_per_s(&self) -> u64 {
         (self.rate_calls_per_s * 1_000.0).round() as u64
     }
 }
 
 impl KeyFile {
-    /// Returns the digest, or `None` if it is not 64 hexadecimal digits.
+    /// Decodes the digest; `None` if it is not 64 hexadecimal digits.
     pub(crate) fn digest(&self) -> Option<[u8; 32]> {
         let text = self.sha256.as_bytes();
         if text.len() != 64 {
@@ -107,7 +107,7 @@
         Some(digest)
     }
 
-    /// Converts the key to the core's form.
+    /// Converts the key to the core's configuration; `None` if its digest is malformed.
     fn to_core(&self) -> Option<KeyConfig> {
         Some(KeyConfig {
             id: KeyId::from(self.id.as_str()),
--- a/crates/config/src/files/keys.rs
+++ b/crates/config/src/files/keys.rs
@@ -1,4 +1,4 @@
-//! Keys files, written by the operator command.
+//! Keys files (`*.keys.yaml`), written by the operator command.
 
 use std::path::Path;
 
@@ -9,32 +9,32 @@
 
 /// Keys of a client account, as in `*.keys.yaml`.
 ///
-/// Keys are kept apart from the account's file, because the operator command
-/// rewrites them and would lose the comments of a file edited by hand.
+/// Keys have a file of their own because the operator command rewrites it,
+/// which would drop the comments of a file edited by hand.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct KeysFile {
-    /// The account that the keys belong to.
+    /// Name of the account that the keys belong to.
     pub account: String,
-    /// The keys, by digest.
+    /// Keys of the account, including withdrawn ones.
     #[serde(default)]
     pub keys: Vec<KeyFile>,
 }
 
 impl KeysFile {
-    /// The end of the names of keys files.
+    /// Suffix of the names of keys files.
     pub const SUFFIX: &'static str = ".keys.yaml";
 
-    /// Reads keys from the text of a file.
+    /// Parses the text of a keys file; `file` names it in errors.
     ///
     /// # Errors
     ///
-    /// Returns the line of the first field that is unknown, missing or of the wrong type.
+    /// Returns an error with the line of the first unknown, missing or mistyped field.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
         serde_norway::from_str(text).map_err(|error| ConfigError::from_yaml(file, &error))
     }
 
-    /// Reads a keys file, or makes an empty one if there is none.
+    /// Reads a keys file; if it does not exist, returns one without keys for `account`.
     ///
     /// # Errors
     ///
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Writes the file.
+    /// Writes the keys to `file`, replacing it atomically.
     ///
     /// # Errors
     ///
@@ -58,7 +58,7 @@
     pub fn save(&self, file: &Path) -> Result<(), ConfigError> {
         let text = serde_norway::to_string(self)
             .map_err(|error| ConfigError::from_yaml(&file.to_string_lossy(), &error))?;
-        // A crash between the two steps leaves the old file whole.
+        // Written to a temporary file and renamed, so that a crash leaves the old file intact.
         let partial = file.with_extension("yaml.partial");
         std::fs::write(&partial, text)
             .and_then(|()| std::fs::rename(&partial, file))
--- a/crates/config/src/files/mod.rs
+++ b/crates/config/src/files/mod.rs
@@ -1,4 +1,4 @@
-//! The files that operators write.
+//! Service, account and keys files that operators publish.
 
 mod account;
 mod keys;
--- a/crates/config/src/files/service.rs
+++ b/crates/config/src/files/service.rs
@@ -1,4 +1,4 @@
-//! Service files.
+//! Service files (`*.service.yaml`).
 
 use knapweeddale_core::{
     EngineConfig, ModelName, RouteConfig, ServiceConfig, ServiceKind, ServiceName, UpstreamConfig,
@@ -9,13 +9,13 @@
 
 use crate::ConfigError;
 
-/// A service, as in `*.service.yaml`.
+/// A service with its upstreams and routes, as in `*.service.yaml`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceFile {
-    /// The service's name, unique over the fleet.
+    /// Name of the service, unique in the fleet.
     pub service: String,
-    /// Whether the upstreams are model engines or a plain HTTP service.
+    /// Whether the upstreams are model engines or plain HTTP servers.
     pub kind: ServiceKindFile,
     /// Models that the service offers; only for engines.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -23,23 +23,23 @@
     /// Whether an interrupted stream can be resumed; only for engines.
     #[serde(default)]
     pub can_resume: bool,
-    /// The upstreams that run the service.
+    /// Upstreams that serve the calls of the service.
     pub upstreams: Vec<UpstreamFile>,
-    /// Routes; only for plain services. The longest matching path wins.
+    /// Routes to the service; only for plain services. The longest matching path wins.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<RouteFile>,
-    /// Models that engines may load a minute from the weight store.
+    /// Maximum number of model loads per minute from the weight store.
     #[serde(default = "default_weight_loads_per_min")]
     pub weight_loads_per_min: u32,
-    /// Longest wait for the first byte or token; the VM's setting when absent.
+    /// Timeout for the first byte or token of a response; the VM's setting when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub first_token_ms: Option<u64>,
-    /// Longest pause within a response; the VM's setting when absent.
+    /// Timeout for each further byte or token of a response; the VM's setting when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token_gap_ms: Option<u64>,
 }
 
-/// What a service runs.
+/// Kind of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKindFile {
@@ -49,13 +49,13 @@
     Plain,
 }
 
-/// Which measure placement favours.
+/// Objective that the placement policy favours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Preset {
     /// Fair shares between client accounts first.
     FairShare,
-    /// Short program latency first.
+    /// Low program latency first.
     Latency,
 }
 
@@ -63,23 +63,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamFile {
-    /// The upstream's name, unique over the fleet.
+    /// Name of the upstream, unique in the fleet.
     pub name: String,
-    /// The address as `ip:port`.
+    /// Address of the upstream, as `ip:port`.
     pub address: String,
-    /// Models that it should have loaded; all models of the service when empty.
+    /// Models that the upstream should have loaded; all models of the service when empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<String>,
-    /// Lowest limit of calls running at once.
+    /// Lower bound of the learned limit of concurrent calls.
     #[serde(default = "default_min_running_calls")]
     pub min_running_calls: u32,
-    /// Highest limit of calls running at once.
+    /// Upper bound of the learned limit of concurrent calls.
     #[serde(default = "default_max_running_calls")]
     pub max_running_calls: u32,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether the upstream refuses orders with an old fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether it is leaving and gets no new calls.
+    /// Whether the upstream is being removed and receives no new calls.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -88,9 +88,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RouteFile {
-    /// The start of the path, ending at a segment.
+    /// Path prefix that a request must match, in whole segments.
     pub path: String,
-    /// Methods in upper case; all when empty.
+    /// HTTP methods in upper case; all when empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub methods: Vec<String>,
     /// Whether a request may run more than once.
@@ -114,16 +114,16 @@
 }
 
 impl ServiceFile {
-    /// Reads a service from the text of a file.
+    /// Parses the text of a service file; `file` names it in errors.
     ///
     /// # Errors
     ///
-    /// Returns the line of the first field that is unknown, missing or of the wrong type.
+    /// Returns an error with the line of the first unknown, missing or mistyped field.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
         serde_norway::from_str(text).map_err(|error| ConfigError::from_yaml(file, &error))
     }
 
-    /// Converts the file to the core's form.
+    /// Converts the service to the core's configuration.
     pub(crate) fn to_core(&self) -> ServiceConfig {
         let to_model_names =
             |names: &[String]| names.iter().map(|n| ModelName::from(n.as_str())).collect();
@@ -156,7 +156,7 @@
 }
 
 impl UpstreamFile {
-    /// Converts the upstream to the core's form.
+    /// Converts the upstream to the core's configuration, with the models that it should load.
     fn to_core(&self, models: Vec<ModelName>) -> UpstreamConfig {
         UpstreamConfig::builder()
             .name(UpstreamName::from(self.name.as_str()))
@@ -171,7 +171,7 @@
 }
 
 impl RouteFile {
-    /// Converts the route to the core's form.
+    /// Converts the route to the core's configuration.
     fn to_core(&self) -> RouteConfig {
         RouteConfig::builder()
             .path_prefix(self.path.clone())
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings of the daemon and the files that operators publish.
+//! Settings of the entry daemon and configuration files of the fleet.
 //!
-//! Operators keep a short `*.service.yaml` file beside each service's code
-//! and a `*.account.yaml` file for each client account; the operator command
-//! writes keys to `*.keys.yaml`. [`Document`] collects
-//! and checks them; [`Settings`] holds the settings of one VM.
+//! Operators keep a `*.service.yaml` file beside each service's code and a
+//! `*.account.yaml` file for each client account; the operator command writes
+//! keys to `*.keys.yaml`. [`Document`] collects and checks these files;
+//! [`Settings`] holds the settings of one VM.
 //!
 //! # Examples
 //!
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -14,8 +14,7 @@
 
 /// Settings of one VM, read from a YAML file.
 ///
-/// Unknown fields are errors. Times that are absent take the default of
-/// section 4.5 of `docs/design.md`.
+/// Unknown fields are errors. The default times are those of section 4.5 of `docs/design.md`.
 ///
 /// # Examples
 ///
@@ -38,46 +37,46 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of this VM, unique over the fleet.
+    /// Name of this VM, unique in the fleet.
     pub vm: String,
-    /// The failure domain of this VM.
+    /// Failure domain of this VM.
     pub failure_domain: String,
-    /// Where callers are served, as `ip:port`.
+    /// Address on which callers are served, as `ip:port`.
     pub listen: SocketAddr,
-    /// Where other VMs reach this one, as `ip:port`.
+    /// Address at which other VMs reach this one, as `ip:port`.
     pub peer_listen: SocketAddr,
-    /// The platform's object API.
+    /// URL of the platform's object API.
     pub store: String,
     /// File with the secret shared by all VMs; signs continuations and peer messages.
     pub secret_file: PathBuf,
-    /// Peers to ask for view and configuration when the store is down at start.
+    /// Addresses of VMs to ask for view and configuration if the store does not answer at startup.
     #[serde(default)]
     pub known_peers: Vec<SocketAddr>,
-    /// Folder for charge records while the store is down; memory only when absent.
+    /// Folder for charge records while the store is unavailable; kept in memory only when absent.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
-    /// Which measure placement favours.
+    /// Objective that the placement policy favours.
     #[serde(default = "default_preset")]
     pub preset: Preset,
-    /// Form of the log.
+    /// Format of the log.
     #[serde(default)]
     pub log_format: LogFormat,
-    /// What is logged, as in `info,knapweeddale_entry=debug`.
+    /// Log filter, such as `info,knapweeddale_entry=debug`.
     #[serde(default = "default_log_filter")]
     pub log_filter: String,
-    /// Largest body of a request.
+    /// Maximum size of a request's body.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: u64,
-    /// Calls and messages that may wait for the control thread.
+    /// Capacity of the control thread's input queue, in calls and messages.
     #[serde(default = "default_input_queue_len")]
     pub input_queue_len: usize,
-    /// Chunks of a response that may wait for the caller.
+    /// Capacity of the queue of response chunks to a caller.
     #[serde(default = "default_response_queue_len")]
     pub response_queue_len: usize,
-    /// Time between readiness turning false and the end of new calls.
+    /// Delay between reporting not ready and refusing new calls.
     #[serde(default = "default_drain_notice_ms")]
     pub drain_notice_ms: u64,
-    /// Longest time for streams to finish when the VM stops.
+    /// Timeout for streams to finish when the VM stops.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
     /// Interval between heartbeats.
@@ -86,37 +85,37 @@
     /// Silence after which a VM is suspected to have failed.
     #[serde(default = "defaults::suspect_ms")]
     pub suspect_ms: u64,
-    /// Interval between touches of the view by a writer.
+    /// Interval at which a writer confirms the view in the store.
     #[serde(default = "defaults::touch_ms")]
     pub touch_ms: u64,
-    /// How long a confirmation of the view lets a VM act as owner or home.
+    /// Lease: how long a VM may act as owner or home after the view was confirmed.
     #[serde(default = "defaults::lease_ms")]
     pub lease_ms: u64,
-    /// How long a share of an account's rate is granted for.
+    /// Validity of a grant of a share of an account's rate.
     #[serde(default = "defaults::grant_ms")]
     pub grant_ms: u64,
     /// Longest wait of a call for its account's rate.
     #[serde(default = "defaults::rate_wait_ms")]
     pub rate_wait_ms: u64,
-    /// Longest wait of a call for the turn before it.
+    /// Longest wait of a call for the end of the previous turn.
     #[serde(default = "defaults::turn_wait_ms")]
     pub turn_wait_ms: u64,
     /// How long a program without calls is kept.
     #[serde(default = "defaults::program_lease_ms")]
     pub program_lease_ms: u64,
-    /// How long the response to a call is kept for a resend.
+    /// How long the response to a call is kept for resends.
     #[serde(default = "defaults::answer_keep_ms")]
     pub answer_keep_ms: u64,
-    /// Longest wait for the first token of a response.
+    /// Timeout for the first token of a response.
     #[serde(default = "defaults::first_token_ms")]
     pub first_token_ms: u64,
-    /// Longest pause between two tokens of a response.
+    /// Timeout for each further token of a response.
     #[serde(default = "defaults::token_gap_ms")]
     pub token_gap_ms: u64,
     /// Longest wait of a call for an upstream.
     #[serde(default = "defaults::queue_ms")]
     pub queue_ms: u64,
-    /// Longest time that an order to an engine is in flight.
+    /// Timeout of an order to an engine.
     #[serde(default = "defaults::order_ms")]
     pub order_ms: u64,
     /// How long a request that crashes upstreams is refused.
@@ -124,14 +123,14 @@
     pub quarantine_ms: u64,
 }
 
-/// Form of the log.
+/// Format of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Lines of text.
+    /// Plain text, one record per line.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -163,7 +162,7 @@
     60_000
 }
 
-/// Defaults of the times; equal to those of `CoreSettings`, which a test checks.
+/// Default times; the test `defaults_equal_core` compares them with those of `CoreSettings`.
 mod defaults {
     macro_rules! defaults {
         ($($name:ident = $value:literal),+ $(,)?) => {
@@ -194,28 +193,30 @@
     ///
     /// # Errors
     ///
-    /// Returns an error with the line if the file cannot be read or used.
+    /// Returns an error if the file cannot be read or parsed, in the latter case with the line.
     pub fn load(file: &Path) -> Result<Self, ConfigError> {
         let text =
             std::fs::read_to_string(file).map_err(|error| ConfigError::from_io(file, error))?;
         Self::parse(&file.to_string_lossy(), &text)
     }
 
-    /// Reads settings from the text of a file.
+    /// Parses the text of a settings file; `file` names it in errors.
     ///
     /// # Errors
     ///
-    /// Returns the line of the first field that is unknown, missing or of the wrong type.
+    /// Returns an error with the line of the first unknown, missing or mistyped field.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
         serde_norway::from_str(text).map_err(|error| ConfigError::from_yaml(file, &error))
     }
 
-    /// Formats the settings with all defaults filled in.
+    /// Formats the settings as YAML, with all defaults filled in.
     pub fn to_yaml(&self) -> String {
         serde_norway::to_string(self).unwrap_or_default()
     }
 
-    /// Converts the settings to those of the core for one start of the process.
+    /// Converts the settings to those of the core.
+    ///
+    /// `incarnation` identifies this start of the process.
     pub fn to_core(&self, incarnation: Incarnation) -> CoreSettings {
         CoreSettings::builder()
             .vm(VmName::from(self.vm.as_str()))
--- a/crates/config/src/settings/reference.rs
+++ b/crates/config/src/settings/reference.rs
@@ -1,4 +1,4 @@
-//! The page that documents the settings.
+//! Generated reference page of the settings.
 
 use std::fmt::Write as _;
 
@@ -6,7 +6,7 @@
 
 use super::Settings;
 
-/// Text before the table.
+/// Text above the rows of the table.
 const PAGE_HEADER: &str = "# Settings of a VM
 
 `knapweeddale-entry --settings FILE` reads these fields from a YAML file. Unknown fields are errors. `--check` checks a file and `--print-settings` prints it with all defaults filled in.
@@ -16,7 +16,7 @@
 ";
 
 impl Settings {
-    /// Returns the reference of all settings as a Markdown page.
+    /// Generates a Markdown table of all fields with default and description, from the JSON schema.
     pub fn reference() -> String {
         let schema = schemars::schema_for!(Self).to_value();
         let mut page = PAGE_HEADER.to_owned();
@@ -24,7 +24,7 @@
             return page;
         };
         for (name, property) in properties {
-            // Writing to a string cannot fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(
                 page,
                 "| `{name}` | {} | {} |",
@@ -36,7 +36,7 @@
     }
 }
 
-/// Formats the default of a field.
+/// Formats the default of a field; a field without one is required.
 fn format_default(property: &Value) -> String {
     match property.get("default") {
         None => "required".to_owned(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Returns the description of a field on one line.
+/// Joins the lines of a field's description, since a table cell holds one line.
 fn format_description(property: &Value) -> String {
     let text = property["description"].as_str().unwrap_or_default();
     text.split_whitespace().collect::<Vec<_>>().join(" ")
--- a/crates/config/tests/fleet_check.rs
+++ b/crates/config/tests/fleet_check.rs
@@ -1,13 +1,14 @@
-//! Guards against publishing files that contradict each other.
+//! Invalid or contradictory files must not be published: each violation is
+//! reported with its remedy, and a valid document survives encoding.
 
 use knapweeddale_config::{AccountFile, Document, ServiceFile};
 
 fn service(text: &str) -> ServiceFile {
-    ServiceFile::parse("s.service.yaml", text).expect("service parses")
+    ServiceFile::parse("s.service.yaml", text).expect("service file is valid")
 }
 
 fn account(text: &str) -> AccountFile {
-    AccountFile::parse("a.account.yaml", text).expect("account parses")
+    AccountFile::parse("a.account.yaml", text).expect("account file is valid")
 }
 
 #[test]
@@ -39,7 +40,7 @@
         let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../../examples")
             .join(deployment);
-        let document = Document::collect(&folder).expect("examples parse");
+        let document = Document::collect(&folder).expect("example files are valid");
         assert!(!document.services.is_empty() && !document.accounts.is_empty());
         assert_eq!(document.check(), Vec::new());
     }
@@ -53,6 +54,9 @@
         )],
         services: vec![],
     };
-    let bytes = document.to_bytes().expect("encodes");
-    assert_eq!(Document::from_bytes(&bytes).expect("decodes"), document);
+    let bytes = document.to_bytes().expect("document is encoded");
+    assert_eq!(
+        Document::from_bytes(&bytes).expect("document is decoded"),
+        document
+    );
 }
--- a/crates/config/tests/vm_settings.rs
+++ b/crates/config/tests/vm_settings.rs
@@ -1,5 +1,5 @@
-//! Guards against settings that are silently wrong: unknown fields, lost
-//! lines in errors, and defaults that differ from those of the core.
+//! Guards against mistyped fields that are ignored, errors that do not name
+//! the line, and defaults that differ from those of the core.
 
 use knapweeddale_config::Settings;
 use knapweeddale_core::{CoreSettings, DomainName, Incarnation, VmName};
@@ -14,7 +14,7 @@
 
 #[test]
 fn defaults_equal_core() {
-    let settings = Settings::parse("vm.yaml", MINIMAL).expect("minimal settings");
+    let settings = Settings::parse("vm.yaml", MINIMAL).expect("minimal settings are valid");
     let core = CoreSettings::builder()
         .vm(VmName::from("vm-1"))
         .incarnation(Incarnation(3))
@@ -28,7 +28,7 @@
 #[test]
 fn unknown_field_names_line() {
     let text = format!("{MINIMAL}leese_ms: 4\n");
-    let error = Settings::parse("vm.yaml", &text).expect_err("unknown field");
+    let error = Settings::parse("vm.yaml", &text).expect_err("unknown field is an error");
     insta::assert_snapshot!(
         error
             .to_string()
@@ -41,7 +41,7 @@
 
 #[test]
 fn printed_settings_parse() {
-    let settings = Settings::parse("vm.yaml", MINIMAL).expect("minimal settings");
-    let reparsed = Settings::parse("printed", &settings.to_yaml()).expect("printed settings");
+    let settings = Settings::parse("vm.yaml", MINIMAL).expect("minimal settings are valid");
+    let reparsed = Settings::parse("printed", &settings.to_yaml()).expect("printed settings parse");
     assert_eq!(settings, reparsed);
 }
