--- a/crates/ctl/src/command/keys.rs
+++ b/crates/ctl/src/command/keys.rs
@@ -37,7 +37,7 @@
     }
     let text = format!("kwd_{id}_{}", random_secret()?);
     let key: CallerKey = text.parse().map_err(|_| CtlError::KeyId(id.to_owned()))?;
-    let path = keys_path(folder, account);
+    let path = keys_file_path(folder, account);
     let mut file = KeysFile::load_or_new(&path, account)?;
     file.keys.push(KeyFile {
         id: id.to_owned(),
@@ -68,7 +68,7 @@
 fn withdraw(folder: &Path, id: &str) -> Result<Report, CtlError> {
     let document = Document::collect(folder)?;
     for account in &document.accounts {
-        let path = keys_path(folder, &account.account);
+        let path = keys_file_path(folder, &account.account);
         let mut file = KeysFile::load_or_new(&path, &account.account)?;
         if let Some(key) = file.keys.iter_mut().find(|key| key.id == id) {
             key.withdrawn = true;
@@ -89,7 +89,7 @@
 }
 
 /// Returns the path of the keys file of an account.
-fn keys_path(folder: &Path, account: &str) -> PathBuf {
+fn keys_file_path(folder: &Path, account: &str) -> PathBuf {
     folder.join(format!("{account}{}", KeysFile::SUFFIX))
 }
 
@@ -97,13 +97,13 @@
 fn random_secret() -> Result<String, CtlError> {
     const ALPHABET: &[u8; 62] = b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz";
     /// Bytes from here on would make the first characters more frequent.
-    const LIMIT: u8 = 248;
+    const REJECTED_FROM: u8 = 248;
     let mut secret = String::new();
     while secret.len() < SECRET_LEN {
         let mut bytes = [0; 64];
-        getrandom::fill(&mut bytes).map_err(|error| CtlError::Random(error.to_string()))?;
-        let fair = bytes.iter().filter(|byte| **byte < LIMIT);
-        let characters = fair.map(|byte| char::from(ALPHABET[usize::from(byte % 62)]));
+        getrandom::fill(&mut bytes).map_err(|error| CtlError::RandomSource(error.to_string()))?;
+        let unbiased = bytes.iter().filter(|byte| **byte < REJECTED_FROM);
+        let characters = unbiased.map(|byte| char::from(ALPHABET[usize::from(byte % 62)]));
         secret.extend(characters.take(SECRET_LEN - secret.len()));
     }
     Ok(secret)
--- a/crates/ctl/src/command/publish.rs
+++ b/crates/ctl/src/command/publish.rs
@@ -11,9 +11,9 @@
 pub(super) async fn diff(store: &str, folder: &Path) -> Result<Report, CtlError> {
     let document = Document::collect(folder)?;
     let api = HttpObjectApi::builder().base_url(store).build()?;
-    let (revision, published) = published(&api).await?;
+    let (revision, published) = read_published(&api).await?;
     let changes = knapweeddale_config::diff(&published, &document);
-    Ok(Report::Differs { revision, changes })
+    Ok(Report::Diff { revision, changes })
 }
 
 /// Checks a folder and writes it if nobody else has published since it was compared.
@@ -28,7 +28,7 @@
         return Ok(Report::Checked { document, findings });
     }
     let api = HttpObjectApi::builder().base_url(store).build()?;
-    let (revision, before) = published(&api).await?;
+    let (revision, before) = read_published(&api).await?;
     if let Some(expected) = expect.filter(|expected| *expected != revision) {
         return Err(CtlError::Conflict {
             revision,
@@ -37,18 +37,18 @@
     }
     let changes = knapweeddale_config::diff(&before, &document);
     if changes.is_empty() {
-        return Ok(Report::Differs { revision, changes });
+        return Ok(Report::Diff { revision, changes });
     }
     let value = document.to_bytes()?;
     match api.put(CONFIG_KEY, value.clone(), revision).await {
         Ok(revision) => Ok(Report::Published { revision, changes }),
-        Err(StoreError::Conflict { .. }) => Err(conflict(&api, &before).await?),
-        Err(error) => read_back(&api, &value, &before, error, changes).await,
+        Err(StoreError::Conflict { .. }) => Err(conflict_error(&api, &before).await?),
+        Err(error) => confirm_write(&api, &value, &before, error, changes).await,
     }
 }
 
 /// Finds out whether a write took effect whose answer was lost.
-async fn read_back(
+async fn confirm_write(
     api: &HttpObjectApi,
     value: &[u8],
     before: &Document,
@@ -65,12 +65,12 @@
     if object.value == before.to_bytes()? {
         return Err(error.into());
     }
-    Err(conflict(api, before).await?)
+    Err(conflict_error(api, before).await?)
 }
 
 /// Names what another operator published in between.
-async fn conflict(api: &HttpObjectApi, before: &Document) -> Result<CtlError, CtlError> {
-    let (revision, theirs) = published(api).await?;
+async fn conflict_error(api: &HttpObjectApi, before: &Document) -> Result<CtlError, CtlError> {
+    let (revision, theirs) = read_published(api).await?;
     let changes = knapweeddale_config::diff(before, &theirs);
     let changes: Vec<String> = changes.iter().map(Change::to_string).collect();
     Ok(CtlError::Conflict {
@@ -80,7 +80,7 @@
 }
 
 /// Reads what is published; an empty document at revision 0 if nothing is.
-pub(super) async fn published(api: &HttpObjectApi) -> Result<(u64, Document), CtlError> {
+pub(super) async fn read_published(api: &HttpObjectApi) -> Result<(u64, Document), CtlError> {
     match api.get(CONFIG_KEY).await? {
         Some(object) => Ok((object.version, Document::from_bytes(&object.value)?)),
         None => Ok((0, Document::default())),
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
     /// Done.
-    Done = 0,
+    Success = 0,
     /// The files have errors or findings.
     Findings = 1,
     /// Another operator published in between.
@@ -64,7 +64,7 @@
     /// The system gave no random bytes.
     #[display("the system gave no random bytes ({_0}); try again")]
     #[error(ignore)]
-    Random(String),
+    RandomSource(String),
 }
 
 impl From<ConfigError> for CtlError {
@@ -75,9 +75,9 @@
 
 impl CtlError {
     /// Returns the exit code of the error.
-    pub fn status(&self) -> ExitStatus {
+    pub fn exit_status(&self) -> ExitStatus {
         match self {
-            Self::Files(_) | Self::Random(_) => ExitStatus::Files,
+            Self::Files(_) | Self::RandomSource(_) => ExitStatus::Files,
             Self::Store(StoreError::Conflict { .. }) | Self::Conflict { .. } => {
                 ExitStatus::Conflict
             }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -9,11 +9,11 @@
     match knapweeddale_ctl::run(options).await {
         Ok(report) => {
             println!("{}", report.format(format));
-            report.status().into()
+            report.exit_status().into()
         }
         Err(error) => {
             eprintln!("knapweeddale: {error}");
-            error.status().into()
+            error.exit_status().into()
         }
     }
 }
--- a/crates/ctl/src/report/mod.rs
+++ b/crates/ctl/src/report/mod.rs
@@ -43,7 +43,7 @@
         findings: Vec<Finding>,
     },
     /// What differs from the published files.
-    Differs {
+    Diff {
         /// The revision in the store; 0 if nothing was published.
         revision: u64,
         /// The changes.
@@ -57,14 +57,14 @@
         changes: Vec<Change>,
     },
     /// What is in force.
-    InForce {
+    Current {
         /// The revision.
         revision: u64,
         /// The published files.
         document: Document,
     },
     /// The state of the VMs.
-    Fleet {
+    VmStates {
         /// The revision in the store.
         revision: u64,
         /// Each VM with its state, or why there is none.
@@ -104,13 +104,13 @@
 /// # Formatting
 impl Report {
     /// Returns the exit code that goes with the report.
-    pub fn status(&self) -> ExitStatus {
+    pub fn exit_status(&self) -> ExitStatus {
         match self {
             Self::Checked { findings, .. } if !findings.is_empty() => ExitStatus::Findings,
-            Self::Fleet { vms, .. } if vms.iter().any(|(_, state)| state.is_err()) => {
+            Self::VmStates { vms, .. } if vms.iter().any(|(_, state)| state.is_err()) => {
                 ExitStatus::Unavailable
             }
-            _ => ExitStatus::Done,
+            _ => ExitStatus::Success,
         }
     }
 
@@ -129,42 +129,45 @@
                 document.services.len(),
                 document.accounts.len()
             ),
-            Self::Checked { findings, .. } => lines(findings),
-            Self::Differs { revision, changes } if changes.is_empty() => {
+            Self::Checked { findings, .. } => join_lines(findings),
+            Self::Diff { revision, changes } if changes.is_empty() => {
                 format!("no difference from revision {revision}")
             }
-            Self::Differs { revision, changes } => {
-                format!("changes against revision {revision}:\n{}", lines(changes))
+            Self::Diff { revision, changes } => {
+                format!(
+                    "changes against revision {revision}:\n{}",
+                    join_lines(changes)
+                )
             }
             Self::Published { revision, changes } => {
-                format!("published revision {revision}\n{}", lines(changes))
+                format!("published revision {revision}\n{}", join_lines(changes))
             }
-            Self::InForce { revision, document } => in_force_text(*revision, document),
-            Self::Fleet { revision, vms } => fleet_text(*revision, vms),
+            Self::Current { revision, document } => format_config(*revision, document),
+            Self::VmStates { revision, vms } => format_vms(*revision, vms),
             Self::KeyGranted { key, file } => {
                 format!("{key}\nshown this once; {file} holds its digest, publish it")
             }
             Self::KeyWithdrawn { id, file } => {
                 format!("key {id} is withdrawn in {file}; publish it")
             }
-            Self::Keys(keys) => keys.iter().map(key_text).collect::<Vec<_>>().join("\n"),
+            Self::Keys(keys) => keys.iter().map(format_key).collect::<Vec<_>>().join("\n"),
             Self::Schema(schema) => format!("{schema:#}"),
         }
     }
 
     fn to_json(&self) -> Value {
         match self {
-            Self::Checked { findings, .. } => json!({ "findings": texts(findings) }),
-            Self::Differs { revision, changes } => {
-                json!({ "against_revision": revision, "changes": texts(changes) })
+            Self::Checked { findings, .. } => json!({ "findings": to_strings(findings) }),
+            Self::Diff { revision, changes } => {
+                json!({ "against_revision": revision, "changes": to_strings(changes) })
             }
             Self::Published { revision, changes } => {
-                json!({ "revision": revision, "changes": texts(changes) })
+                json!({ "revision": revision, "changes": to_strings(changes) })
             }
-            Self::InForce { revision, document } => {
+            Self::Current { revision, document } => {
                 json!({ "revision": revision, "document": document })
             }
-            Self::Fleet { revision, vms } => {
+            Self::VmStates { revision, vms } => {
                 let vms = vms.iter().map(|(vm, state)| match state {
                     Ok(state) => json!({ "vm": vm, "state": state }),
                     Err(error) => json!({ "vm": vm, "error": error }),
@@ -173,30 +176,30 @@
             }
             Self::KeyGranted { key, file } => json!({ "key": key, "file": file }),
             Self::KeyWithdrawn { id, file } => json!({ "id": id, "file": file }),
-            Self::Keys(keys) => keys.iter().map(key_json).collect(),
+            Self::Keys(keys) => keys.iter().map(key_to_json).collect(),
             Self::Schema(schema) => schema.clone(),
         }
     }
 }
 
-fn lines<T: ToString>(items: &[T]) -> String {
-    texts(items).join("\n")
+fn join_lines<T: ToString>(items: &[T]) -> String {
+    to_strings(items).join("\n")
 }
 
-fn texts<T: ToString>(items: &[T]) -> Vec<String> {
+fn to_strings<T: ToString>(items: &[T]) -> Vec<String> {
     items.iter().map(ToString::to_string).collect()
 }
 
-fn key_text(row: &KeyRow) -> String {
+fn format_key(row: &KeyRow) -> String {
     let state = if row.withdrawn { "withdrawn" } else { "valid" };
     format!("{}\t{}\t{state}", row.account, row.id)
 }
 
-fn key_json(row: &KeyRow) -> Value {
+fn key_to_json(row: &KeyRow) -> Value {
     json!({ "account": row.account, "id": row.id, "withdrawn": row.withdrawn })
 }
 
-fn in_force_text(revision: u64, document: &Document) -> String {
+fn format_config(revision: u64, document: &Document) -> String {
     let mut text = format!("revision {revision}");
     for account in &document.accounts {
         // Writing to a string cannot fail.
@@ -222,11 +225,11 @@
     text
 }
 
-fn fleet_text(revision: u64, vms: &[(String, Result<Value, String>)]) -> String {
+fn format_vms(revision: u64, vms: &[(String, Result<Value, String>)]) -> String {
     let mut text = format!("revision {revision} in the store");
     for (vm, state) in vms {
         let line = match state {
-            Ok(state) => vm_text(revision, state),
+            Ok(state) => format_vm_state(revision, state),
             Err(error) => format!("no answer: {error}"),
         };
         // Writing to a string cannot fail.
@@ -235,16 +238,20 @@
     text
 }
 
-fn vm_text(revision: u64, state: &Value) -> String {
-    let in_force = state["revision"].as_u64().unwrap_or(0);
-    let lag = if in_force < revision { " (lags)" } else { "" };
+fn format_vm_state(revision: u64, state: &Value) -> String {
+    let vm_revision = state["revision"].as_u64().unwrap_or(0);
+    let lag = if vm_revision < revision {
+        " (lags)"
+    } else {
+        ""
+    };
     let ready = if state["ready"].as_bool().unwrap_or(false) {
         "ready"
     } else {
         "not ready"
     };
     format!(
-        "{ready}, epoch {}, revision {in_force}{lag}",
+        "{ready}, epoch {}, revision {vm_revision}{lag}",
         state["epoch"]
     )
 }
--- a/crates/ctl/tests/key_files.rs
+++ b/crates/ctl/tests/key_files.rs
@@ -4,7 +4,7 @@
 
 use knapweeddale_ctl::{ExitStatus, OutputFormat, Report, options, run};
 
-fn folder(name: &str) -> PathBuf {
+fn create_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     // The folder may be left from an earlier run.
     let _ = std::fs::remove_dir_all(&folder);
@@ -14,7 +14,7 @@
     folder
 }
 
-async fn keys(arguments: &[&str], folder: &Path) -> Result<Report, ExitStatus> {
+async fn run_keys(arguments: &[&str], folder: &Path) -> Result<Report, ExitStatus> {
     let folder = folder.to_str().expect("path is text");
     let arguments: Vec<&str> = ["keys"]
         .iter()
@@ -25,34 +25,34 @@
     let options = options()
         .run_inner(arguments.as_slice())
         .expect("options parse");
-    run(options).await.map_err(|error| error.status())
+    run(options).await.map_err(|error| error.exit_status())
 }
 
 #[tokio::test]
-async fn digest_only_at_rest() {
-    let folder = folder("key-digest");
-    let report = keys(&["grant", "--account", "aller", "--id", "desk"], &folder).await;
+async fn only_digest_stored() {
+    let folder = create_folder("key-digest");
+    let report = run_keys(&["grant", "--account", "aller", "--id", "desk"], &folder).await;
     let Ok(Report::KeyGranted { key, file }) = report else {
         panic!("no key: {report:?}");
     };
     let text = std::fs::read_to_string(file).expect("keys file");
     let secret = key.rsplit('_').next().expect("secret part");
     assert!(!text.contains(secret) && text.contains("desk"));
-    let again = keys(&["grant", "--account", "aller", "--id", "desk"], &folder).await;
+    let again = run_keys(&["grant", "--account", "aller", "--id", "desk"], &folder).await;
     assert_eq!(again.expect_err("id is taken"), ExitStatus::Findings);
 }
 
 #[tokio::test]
-async fn withdrawal_is_kept() {
-    let folder = folder("key-withdrawal");
-    keys(&["grant", "--account", "aller", "--id", "desk"], &folder)
+async fn withdrawal_persists() {
+    let folder = create_folder("key-withdrawal");
+    run_keys(&["grant", "--account", "aller", "--id", "desk"], &folder)
         .await
         .expect("grant");
-    keys(&["withdraw", "--id", "desk"], &folder)
+    run_keys(&["withdraw", "--id", "desk"], &folder)
         .await
         .expect("withdraw");
-    let list = keys(&["list"], &folder).await.expect("list");
+    let list = run_keys(&["list"], &folder).await.expect("list");
     assert_eq!(list.format(OutputFormat::Text), "aller\tdesk\twithdrawn");
-    let unknown = keys(&["withdraw", "--id", "none"], &folder).await;
+    let unknown = run_keys(&["withdraw", "--id", "none"], &folder).await;
     assert_eq!(unknown.expect_err("no such key"), ExitStatus::Findings);
 }
--- a/crates/ctl/tests/publish_race.rs
+++ b/crates/ctl/tests/publish_race.rs
@@ -5,7 +5,7 @@
 use knapweeddale_ctl::{Command, CtlError, ExitStatus, Options, OutputFormat, Report, run};
 use knapweeddale_testing::platform::{Fault, Platform};
 
-fn folder(name: &str, rate: u32) -> PathBuf {
+fn create_folder(name: &str, rate: u32) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).expect("folder");
     let text = format!("account: aller\nrate_calls_per_s: {rate}\nburst_calls: 5\n");
@@ -33,24 +33,24 @@
 #[tokio::test]
 async fn second_operator_conflicts() {
     let platform = Platform::start(0).await;
-    let first = publish(&platform, &folder("race-1", 10), None)
+    let first = publish(&platform, &create_folder("race-1", 10), None)
         .await
         .expect("first");
     assert!(matches!(first, Report::Published { revision: 1, .. }));
-    let error = publish(&platform, &folder("race-2", 20), Some(0)).await;
+    let error = publish(&platform, &create_folder("race-2", 20), Some(0)).await;
     let error = error.expect_err("stale revision");
-    assert_eq!(error.status(), ExitStatus::Conflict);
-    let second = publish(&platform, &folder("race-2", 20), Some(1))
+    assert_eq!(error.exit_status(), ExitStatus::Conflict);
+    let second = publish(&platform, &create_folder("race-2", 20), Some(1))
         .await
         .expect("second");
     insta::assert_snapshot!(second.format(OutputFormat::Text));
 }
 
 #[tokio::test]
-async fn lost_answer_is_published() {
+async fn lost_response_resolved() {
     let platform = Platform::start(0).await;
     platform.objects.set_fault(Fault::LoseAnswers);
-    let report = publish(&platform, &folder("lost", 10), None)
+    let report = publish(&platform, &create_folder("lost", 10), None)
         .await
         .expect("read back");
     assert!(matches!(report, Report::Published { revision: 1, .. }));
@@ -60,9 +60,9 @@
 async fn outage_is_reported() {
     let platform = Platform::start(0).await;
     platform.objects.set_fault(Fault::Down);
-    let error = publish(&platform, &folder("outage", 10), None).await;
+    let error = publish(&platform, &create_folder("outage", 10), None).await;
     assert_eq!(
-        error.expect_err("store is down").status(),
+        error.expect_err("store is down").exit_status(),
         ExitStatus::Unavailable
     );
 }
@@ -70,9 +70,9 @@
 #[tokio::test]
 async fn findings_block_publishing() {
     let platform = Platform::start(0).await;
-    let report = publish(&platform, &folder("bad", 0), None)
+    let report = publish(&platform, &create_folder("bad", 0), None)
         .await
         .expect("report");
-    assert_eq!(report.status(), ExitStatus::Findings);
+    assert_eq!(report.exit_status(), ExitStatus::Findings);
     assert!(platform.objects.with_prefix("fleet/").is_empty());
 }
