--- a/crates/ctl/src/command/fleet.rs
+++ b/crates/ctl/src/command/fleet.rs
@@ -1,4 +1,4 @@
-//! Commands that show what is published and how the VMs are.
+//! Commands that show the published configuration and the state of the VMs.
 
 use std::time::Duration;
 
@@ -8,17 +8,19 @@
 use super::publish::read_published;
 use crate::{CtlError, Report};
 
-/// Longest wait for a VM's state.
+/// Timeout of a status request to one VM.
 const VM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Shows what is published.
+/// Reads the published configuration and its revision.
 pub(super) async fn show(store: &str) -> Result<Report, CtlError> {
     let api = HttpObjectApi::builder().base_url(store).build()?;
     let (revision, document) = read_published(&api).await?;
     Ok(Report::Current { revision, document })
 }
 
-/// Shows the state of the VMs.
+/// Requests the status of the given VMs, or of all VMs that the platform lists.
+///
+/// A VM that fails to answer is reported with its error; the others are still queried.
 pub(super) async fn status(store: &str, vms: Vec<String>) -> Result<Report, CtlError> {
     let api = HttpObjectApi::builder().base_url(store).build()?;
     let (revision, _) = read_published(&api).await?;
@@ -41,7 +43,7 @@
     })
 }
 
-/// Asks a VM for its state.
+/// Requests `/status` from one VM.
 async fn fetch_vm_state(address: &str) -> Result<Value, reqwest::Error> {
     let url = format!("http://{address}/status");
     let client = reqwest::Client::builder().timeout(VM_TIMEOUT).build()?;
--- a/crates/ctl/src/command/keys.rs
+++ b/crates/ctl/src/command/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of client accounts.
+//! Commands that manage the keys of client accounts.
 
 use std::path::{Path, PathBuf};
 
@@ -12,7 +12,7 @@
 /// Length of the secret part; 40 characters of 62 hold 238 random bits.
 const SECRET_LEN: usize = 40;
 
-/// Runs a command on keys.
+/// Runs a `keys` subcommand.
 pub(super) fn run(command: KeysCommand) -> Result<Report, CtlError> {
     match command {
         KeysCommand::Grant {
@@ -25,7 +25,9 @@
     }
 }
 
-/// Makes a key and keeps its digest.
+/// Generates a key and appends its digest to the account's keys file.
+///
+/// The key itself is only in the report; no file contains it.
 fn grant(folder: &Path, account: &str, id: &str) -> Result<Report, CtlError> {
     let document = Document::collect(folder)?;
     let mut accounts = document.accounts.iter();
@@ -51,7 +53,7 @@
     })
 }
 
-/// Lists the keys of a folder.
+/// Lists the keys of all accounts in a folder.
 fn list(folder: &Path) -> Result<Report, CtlError> {
     let document = Document::collect(folder)?;
     let rows = document.accounts.iter().flat_map(|account| {
@@ -64,7 +66,7 @@
     Ok(Report::Keys(rows.collect()))
 }
 
-/// Marks a key as withdrawn.
+/// Marks a key as withdrawn in its keys file.
 fn withdraw(folder: &Path, id: &str) -> Result<Report, CtlError> {
     let document = Document::collect(folder)?;
     for account in &document.accounts {
@@ -82,21 +84,22 @@
     Err(CtlError::UnknownKey(id.to_owned()))
 }
 
-/// Returns the public parts of all keys.
+/// Returns the IDs (public parts) of all keys.
 fn key_ids(document: &Document) -> impl Iterator<Item = &str> {
     let keys = document.accounts.iter().flat_map(|account| &account.keys);
     keys.map(|key| key.id.as_str())
 }
 
-/// Returns the path of the keys file of an account.
+/// Returns the path of an account's keys file.
 fn keys_file_path(folder: &Path, account: &str) -> PathBuf {
     folder.join(format!("{account}{}", KeysFile::SUFFIX))
 }
 
-/// Makes the secret part of a key.
+/// Generates the secret part of a key.
 fn random_secret() -> Result<String, CtlError> {
     const ALPHABET: &[u8; 62] = b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz";
-    /// Bytes from here on would make the first characters more frequent.
+    /// Bytes from this value on are discarded: 248 is the largest multiple of 62
+    /// below 256, and the rest would bias the secret to the first characters.
     const REJECTED_FROM: u8 = 248;
     let mut secret = String::new();
     while secret.len() < SECRET_LEN {
--- a/crates/ctl/src/command/mod.rs
+++ b/crates/ctl/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands and their options.
+//! Command-line options and the dispatch of commands.
 
 mod files;
 mod fleet;
@@ -18,25 +18,25 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub struct Options {
-    /// Form of the output: `text` or `json`
+    /// Output format: `text` or `json`
     #[bpaf(long, short, argument("FORM"), fallback(OutputFormat::Text))]
     pub output: OutputFormat,
-    /// What to do.
+    /// The command to run.
     #[bpaf(external)]
     pub command: Command,
 }
 
-/// What the operator wants done.
+/// A command with its arguments.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Command {
-    /// Checks all files below a folder together; exit code 1 if something is wrong
+    /// Validates all files below a folder; exits with code 1 if there are findings
     #[bpaf(command)]
     Check {
         /// Folder with the files
         #[bpaf(positional("FOLDER"))]
         folder: PathBuf,
     },
-    /// Shows what publishing a folder would change
+    /// Shows how a folder differs from the published configuration
     #[bpaf(command)]
     Diff {
         /// URL of the platform's object API
@@ -46,33 +46,33 @@
         #[bpaf(positional("FOLDER"))]
         folder: PathBuf,
     },
-    /// Publishes a folder; exit code 3 if another operator published in between
+    /// Publishes a folder; exits with code 3 if another operator has published in the meantime
     #[bpaf(command)]
     Publish {
         /// URL of the platform's object API
         #[bpaf(long, argument("URL"))]
         store: String,
-        /// Publish only if this is the revision in the store
+        /// Publish only if the store is at this revision
         #[bpaf(long, argument("REVISION"))]
         expect: Option<u64>,
         /// Folder with the files
         #[bpaf(positional("FOLDER"))]
         folder: PathBuf,
     },
-    /// Shows what is published
+    /// Shows the published configuration
     #[bpaf(command)]
     Show {
         /// URL of the platform's object API
         #[bpaf(long, argument("URL"))]
         store: String,
     },
-    /// Shows the state of the VMs and which of them lag
+    /// Shows the state of the VMs and which of them run an older revision
     #[bpaf(command)]
     Status {
         /// URL of the platform's object API
         #[bpaf(long, argument("URL"))]
         store: String,
-        /// Ask this VM instead of those in the platform's list; may be repeated
+        /// Query this VM instead of those that the platform lists; may be repeated
         #[bpaf(long, argument("IP:PORT"))]
         vm: Vec<String>,
     },
@@ -84,33 +84,33 @@
     Schema,
 }
 
-/// What to do with keys.
+/// A subcommand of `keys`.
 #[derive(Debug, Clone, Bpaf)]
 pub enum KeysCommand {
-    /// Makes a key, shows it once and keeps its digest in the account's keys file
+    /// Generates a key, prints it once and stores its digest in the account's keys file
     #[bpaf(command)]
     Grant {
-        /// Account that the key belongs to
+        /// Client account that the key belongs to
         #[bpaf(long, argument("ACCOUNT"))]
         account: String,
-        /// Public part of the key, shown in lists and logs
+        /// ID of the key: its public part, which lists and logs show
         #[bpaf(long, argument("ID"))]
         id: String,
         /// Folder with the files
         #[bpaf(positional("FOLDER"))]
         folder: PathBuf,
     },
-    /// Lists the keys by their public part
+    /// Lists the keys by ID
     #[bpaf(command)]
     List {
         /// Folder with the files
         #[bpaf(positional("FOLDER"))]
         folder: PathBuf,
     },
-    /// Withdraws a key in its keys file
+    /// Marks a key as withdrawn in its keys file
     #[bpaf(command)]
     Withdraw {
-        /// Public part of the key
+        /// ID of the key
         #[bpaf(long, argument("ID"))]
         id: String,
         /// Folder with the files
@@ -123,7 +123,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error with its exit code if the command could not do its work.
+/// Returns an error if the files are invalid, the store fails, the configuration was
+/// changed concurrently or a key cannot be created or found; see [`CtlError::exit_status`].
 pub async fn run(options: Options) -> Result<Report, CtlError> {
     match options.command {
         Command::Check { folder } => files::check(&folder),
--- a/crates/ctl/src/command/publish.rs
+++ b/crates/ctl/src/command/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing a folder by conditional update.
+//! Publishes a folder by a conditional write to the store.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use crate::{CtlError, Report};
 
-/// Shows what publishing a folder would change.
+/// Compares a folder with the published configuration.
 pub(super) async fn diff(store: &str, folder: &Path) -> Result<Report, CtlError> {
     let document = Document::collect(folder)?;
     let api = HttpObjectApi::builder().base_url(store).build()?;
@@ -16,7 +16,10 @@
     Ok(Report::Diff { revision, changes })
 }
 
-/// Checks a folder and writes it if nobody else has published since it was compared.
+/// Validates a folder and writes it on condition that the store's revision has not changed
+/// since the comparison.
+///
+/// Nothing is written if there are findings or no changes.
 pub(super) async fn publish(
     store: &str,
     expect: Option<u64>,
@@ -47,7 +50,8 @@
     }
 }
 
-/// Finds out whether a write took effect whose answer was lost.
+/// Reads the configuration back after a failed write, as the write may have taken effect
+/// although its response was lost.
 async fn confirm_write(
     api: &HttpObjectApi,
     value: &[u8],
@@ -68,7 +72,7 @@
     Err(conflict_error(api, before).await?)
 }
 
-/// Names what another operator published in between.
+/// Builds the conflict error, which lists what another operator has changed.
 async fn conflict_error(api: &HttpObjectApi, before: &Document) -> Result<CtlError, CtlError> {
     let (revision, theirs) = read_published(api).await?;
     let changes = knapweeddale_config::diff(before, &theirs);
@@ -79,7 +83,7 @@
     })
 }
 
-/// Reads what is published; an empty document at revision 0 if nothing is.
+/// Reads the published configuration; revision 0 and an empty document if there is none.
 pub(super) async fn read_published(api: &HttpObjectApi) -> Result<(u64, Document), CtlError> {
     match api.get(CONFIG_KEY).await? {
         Some(object) => Ok((object.version, Document::from_bytes(&object.value)?)),
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -6,18 +6,18 @@
 use knapweeddale_config::ConfigError;
 use knapweeddale_store::StoreError;
 
-/// How the command ended; the number is its exit code.
+/// Result of a command; the discriminant is the process exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// The files have errors or findings.
+    /// The check has findings, or a key or account in the arguments is not valid.
     Findings = 1,
-    /// Another operator published in between.
+    /// Another operator has published in the meantime.
     Conflict = 3,
-    /// The store or a VM did not answer.
+    /// The store failed or a VM did not answer.
     Unavailable = 4,
-    /// A file could not be read or written.
+    /// A file could not be read, parsed or written, or the system gave no random bytes.
     Files = 5,
 }
 
@@ -27,42 +27,46 @@
     }
 }
 
-/// Why the command could not do its work.
+/// Reasons for which a command fails.
 #[derive(Debug, Display, Error, From)]
 pub enum CtlError {
-    /// Files that cannot be used.
+    /// Files that cannot be read, parsed or written.
     #[display("{}", _0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     #[error(ignore)]
     #[from]
     Files(Vec<ConfigError>),
-    /// The store failed.
+    /// A request to the store failed.
     #[from]
     Store(StoreError),
-    /// Another operator published in between.
+    /// The store's revision is not the expected one.
     #[display(
-        "revision {revision} was published in between; read its changes and publish again:\n{changes}"
+        "revision {revision} was published in the meantime; review its changes and publish again:\n{changes}"
     )]
     #[error(ignore)]
     Conflict {
         /// The revision now in the store.
         revision: u64,
-        /// What it changed.
+        /// The changes that it made, one per line, or the revision that was expected.
         changes: String,
     },
-    /// A key could not be found.
-    #[display("no key {_0:?} in the folder; list the keys with `knapweeddale keys list`")]
+    /// No keys file in the folder has a key with this ID.
+    #[display(
+        "key {_0:?} does not exist in the folder; list the keys with `knapweeddale keys list`"
+    )]
     #[error(ignore)]
     UnknownKey(String),
-    /// An account could not be found.
-    #[display("no account {_0:?} in the folder; add its `.account.yaml` file first")]
+    /// No file in the folder defines this account.
+    #[display("account {_0:?} does not exist in the folder; add its `.account.yaml` file first")]
     #[error(ignore)]
     UnknownAccount(String),
-    /// A key identifier that cannot be used.
-    #[display("key id {_0:?} is not 1 to 32 of a-z, 0-9 and `-` or is taken; choose another")]
+    /// A key ID that is malformed or already in use.
+    #[display(
+        "key ID {_0:?} is already in use or is not 1 to 32 characters of a-z, 0-9 and `-`; choose another"
+    )]
     #[error(ignore)]
     KeyId(String),
-    /// The system gave no random bytes.
-    #[display("the system gave no random bytes ({_0}); try again")]
+    /// The operating system's random source failed.
+    #[display("the operating system returned no random bytes: {_0}; try again")]
     #[error(ignore)]
     RandomSource(String),
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operator command of knapweeddale.
 //!
-//! Operators edit service and account files and publish them; this crate
-//! checks the files, shows what would change, and writes them to the
-//! platform's store by conditional update.
+//! Operators edit service, account and keys files and publish them. This crate
+//! validates the files, shows what would change, and writes them to the
+//! platform's store by a conditional write.
 
 mod command;
 mod error;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary `knapweeddale`.
+//! The `knapweeddale` command.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/report/mod.rs
+++ b/crates/ctl/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What the command prints.
+//! Results of commands and their formatting as text and JSON.
 
 use std::fmt::Write as _;
 use std::str::FromStr;
@@ -8,13 +8,13 @@
 
 use crate::ExitStatus;
 
-/// Form of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum OutputFormat {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON value.
+    /// A single JSON value.
     Json,
 }
 
@@ -26,7 +26,7 @@
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
             _ => Err(format!(
-                "{text:?} is not a form of output; use `text` or `json`"
+                "{text:?} is not an output format; use `text` or `json`"
             )),
         }
     }
@@ -35,75 +35,75 @@
 /// The result of a command.
 #[derive(Debug)]
 pub enum Report {
-    /// What a check found.
+    /// The result of a check.
     Checked {
         /// The checked files.
         document: Document,
-        /// What is wrong.
+        /// The problems found; empty if the files are valid.
         findings: Vec<Finding>,
     },
-    /// What differs from the published files.
+    /// The differences between the folder and the published configuration.
     Diff {
         /// The revision in the store; 0 if nothing was published.
         revision: u64,
-        /// The changes.
+        /// What publishing the folder would change.
         changes: Vec<Change>,
     },
-    /// What was published.
+    /// A configuration was published.
     Published {
         /// The new revision.
         revision: u64,
-        /// The changes.
+        /// The changes from the previous revision.
         changes: Vec<Change>,
     },
-    /// What is in force.
+    /// The published configuration.
     Current {
-        /// The revision.
+        /// Its revision; 0 if nothing was published.
         revision: u64,
-        /// The published files.
+        /// The services and accounts.
         document: Document,
     },
     /// The state of the VMs.
     VmStates {
         /// The revision in the store.
         revision: u64,
-        /// Each VM with its state, or why there is none.
+        /// The address of each VM with its status, or the error of the request.
         vms: Vec<(String, Result<Value, String>)>,
     },
-    /// A new key, shown this once.
+    /// A key was generated; the report is the only place that contains it.
     KeyGranted {
-        /// The whole key.
+        /// The key, including its secret part.
         key: String,
-        /// The file that holds its digest.
+        /// Path of the keys file that contains its digest.
         file: String,
     },
-    /// A key that was withdrawn in its file.
+    /// A key was marked as withdrawn in its keys file.
     KeyWithdrawn {
-        /// The public part.
+        /// The ID (public part) of the key.
         id: String,
-        /// The file that holds its digest.
+        /// Path of the keys file that contains its digest.
         file: String,
     },
-    /// The keys of the folder.
+    /// The keys of all accounts in the folder.
     Keys(Vec<KeyRow>),
-    /// The JSON schema of the files.
+    /// The JSON schema of the service, account and keys files.
     Schema(Value),
 }
 
-/// One key in a list.
+/// A row in the list of keys.
 #[derive(Debug)]
 pub struct KeyRow {
-    /// The account.
+    /// The client account that the key belongs to.
     pub account: String,
-    /// The public part of the key.
+    /// The ID (public part) of the key.
     pub id: String,
-    /// Whether it has been withdrawn.
+    /// Whether the key has been withdrawn.
     pub withdrawn: bool,
 }
 
 /// # Formatting
 impl Report {
-    /// Returns the exit code that goes with the report.
+    /// Returns the exit status for this result.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
             Self::Checked { findings, .. } if !findings.is_empty() => ExitStatus::Findings,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Formats the report.
+    /// Formats the result for standard output.
     pub fn format(&self, format: OutputFormat) -> String {
         match format {
             OutputFormat::Text => self.to_text(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,1 +1,1 @@
-//! A scheduler for agent programs.
+//! knapweeddale, a scheduler for agent programs.
