--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -37,46 +37,46 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this VM, unique in the fleet.
+    /// The name of this VM, unique over the fleet.
     pub vm: String,
-    /// Failure domain of this VM.
+    /// The failure domain of this VM.
     pub failure_domain: String,
-    /// Address on which callers are served, as `ip:port`.
+    /// Where callers are served, as `ip:port`.
     pub listen: SocketAddr,
-    /// Address at which other VMs reach this one, as `ip:port`.
+    /// Where other VMs reach this one, as `ip:port`.
     pub peer_listen: SocketAddr,
-    /// URL of the platform's object API.
+    /// The platform's object API.
     pub store: String,
     /// File with the secret shared by all VMs; signs continuations and peer messages.
     pub secret_file: PathBuf,
-    /// Addresses of VMs to ask for view and configuration if the store does not answer at startup.
+    /// Peers to ask for view and configuration when the store is down at start.
     #[serde(default)]
     pub known_peers: Vec<SocketAddr>,
-    /// Folder for charge records while the store is unavailable; kept in memory only when absent.
+    /// Folder for charge records while the store is down; memory only when absent.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
-    /// Objective that the placement policy favours.
+    /// Which measure placement favours.
     #[serde(default = "default_preset")]
     pub preset: Preset,
-    /// Format of the log.
+    /// Form of the log.
     #[serde(default)]
     pub log_format: LogFormat,
-    /// Log filter, such as `info,knapweeddale_entry=debug`.
+    /// What is logged, as in `info,knapweeddale_entry=debug`.
     #[serde(default = "default_log_filter")]
     pub log_filter: String,
-    /// Maximum size of a request's body.
+    /// Largest body of a request.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: u64,
-    /// Capacity of the control thread's input queue, in calls and messages.
+    /// Calls and messages that may wait for the control thread.
     #[serde(default = "default_input_queue_len")]
     pub input_queue_len: usize,
-    /// Capacity of the queue of response chunks to a caller.
+    /// Chunks of a response that may wait for the caller.
     #[serde(default = "default_response_queue_len")]
     pub response_queue_len: usize,
-    /// Delay between reporting not ready and refusing new calls.
+    /// Time between readiness turning false and the end of new calls.
     #[serde(default = "default_drain_notice_ms")]
     pub drain_notice_ms: u64,
-    /// Timeout for streams to finish when the VM stops.
+    /// Longest time for streams to finish when the VM stops.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
     /// Interval between heartbeats.
@@ -85,37 +85,37 @@
     /// Silence after which a VM is suspected to have failed.
     #[serde(default = "defaults::suspect_ms")]
     pub suspect_ms: u64,
-    /// Interval at which a writer confirms the view in the store.
+    /// Interval between touches of the view by a writer.
     #[serde(default = "defaults::touch_ms")]
     pub touch_ms: u64,
-    /// Lease: how long a VM may act as owner or home after the view was confirmed.
+    /// How long a confirmation of the view lets a VM act as owner or home.
     #[serde(default = "defaults::lease_ms")]
     pub lease_ms: u64,
-    /// Validity of a grant of a share of an account's rate.
+    /// How long a share of an account's rate is granted for.
     #[serde(default = "defaults::grant_ms")]
     pub grant_ms: u64,
     /// Longest wait of a call for its account's rate.
     #[serde(default = "defaults::rate_wait_ms")]
     pub rate_wait_ms: u64,
-    /// Longest wait of a call for the end of the previous turn.
+    /// Longest wait of a call for the turn before it.
     #[serde(default = "defaults::turn_wait_ms")]
     pub turn_wait_ms: u64,
     /// How long a program without calls is kept.
     #[serde(default = "defaults::program_lease_ms")]
     pub program_lease_ms: u64,
-    /// How long the response to a call is kept for resends.
+    /// How long the response to a call is kept for a resend.
     #[serde(default = "defaults::answer_keep_ms")]
     pub answer_keep_ms: u64,
-    /// Timeout for the first token of a response.
+    /// Longest wait for the first token of a response.
     #[serde(default = "defaults::first_token_ms")]
     pub first_token_ms: u64,
-    /// Timeout for each further token of a response.
+    /// Longest pause between two tokens of a response.
     #[serde(default = "defaults::token_gap_ms")]
     pub token_gap_ms: u64,
     /// Longest wait of a call for an upstream.
     #[serde(default = "defaults::queue_ms")]
     pub queue_ms: u64,
-    /// Timeout of an order to an engine.
+    /// Longest time that an order to an engine is in flight.
     #[serde(default = "defaults::order_ms")]
     pub order_ms: u64,
     /// How long a request that crashes upstreams is refused.
