--- a/crates/entry/tests/bad_input.rs
+++ b/crates/entry/tests/bad_input.rs
@@ -7,53 +7,56 @@
 
 use reqwest::Method;
 use serde_json::json;
-use support::{KEY, Rig, SLOW, SMALL, UNPUBLISHED, WITHDRAWN, ask, bearer, raw, session};
+use support::{
+    EntryUnderTest, KEY, LOW_RATE_KEY, SMALL_BUDGET_KEY, UNPUBLISHED_KEY, WITHDRAWN_KEY, bearer,
+    completion_body, format_session, send_raw,
+};
 
 /// Sends a request and compares the session with its golden file.
-async fn check(
-    rig: &Rig,
+async fn assert_session(
+    entry: &EntryUnderTest,
     name: &str,
     (method, path): (Method, &str),
     headers: &[(&str, &str)],
     body: &str,
 ) {
-    let mut request = rig.client.request(method.clone(), rig.url(path));
+    let mut request = entry.client.request(method.clone(), entry.url(path));
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
     let response = request.body(body.to_owned()).send().await;
     let response = response.expect("the VM answers");
-    let text = session(&format!("{method} {path}"), response).await;
+    let text = format_session(&format!("{method} {path}"), response).await;
     insta::assert_snapshot!(name, text);
 }
 
-const COMPLETE: (Method, &str) = (Method::POST, "/v1/chat/completions");
+const COMPLETIONS: (Method, &str) = (Method::POST, "/v1/chat/completions");
 
 /// Checks a completion whose body is fine.
-async fn check_headers(rig: &Rig, name: &str, headers: &[(&str, &str)]) {
-    let body = ask(&[("user", "oslo")], false).to_string();
-    check(rig, name, COMPLETE, headers, &body).await;
+async fn assert_completion_session(entry: &EntryUnderTest, name: &str, headers: &[(&str, &str)]) {
+    let body = completion_body(&[("user", "oslo")], false).to_string();
+    assert_session(entry, name, COMPLETIONS, headers, &body).await;
 }
 
 #[tokio::test]
 async fn keys() {
-    let rig = Rig::start().await;
-    check_headers(&rig, "key_missing", &[]).await;
+    let entry = EntryUnderTest::start().await;
+    assert_completion_session(&entry, "key_missing", &[]).await;
     for (name, key) in [
-        ("key_unpublished", bearer(UNPUBLISHED)),
+        ("key_unpublished", bearer(UNPUBLISHED_KEY)),
         ("key_wrong_secret", bearer(&KEY.replace("01", "09"))),
         ("key_malformed", bearer("kwd_desk")),
         ("key_not_bearer", format!("Basic {KEY}")),
-        ("key_withdrawn", bearer(WITHDRAWN)),
+        ("key_withdrawn", bearer(WITHDRAWN_KEY)),
     ] {
-        check_headers(&rig, name, &[("authorization", &key)]).await;
+        assert_completion_session(&entry, name, &[("authorization", &key)]).await;
     }
-    assert_eq!(rig.engine.handler().total_executions(), 0);
+    assert_eq!(entry.engine.handler().total_executions(), 0);
 }
 
 #[tokio::test]
 async fn bodies() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let headers = [("authorization", key.as_str())];
     for (name, body) in [
@@ -83,14 +86,14 @@
             json!({"model": "small", "messages": [{"role": "user", "content": KEY}]}).to_string(),
         ),
     ] {
-        check(&rig, name, COMPLETE, &headers, &body).await;
+        assert_session(&entry, name, COMPLETIONS, &headers, &body).await;
     }
-    assert_eq!(rig.engine.handler().total_executions(), 0);
+    assert_eq!(entry.engine.handler().total_executions(), 0);
 }
 
 #[tokio::test]
 async fn headers() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let large = "x".repeat(20_000);
     let program = ("kwd-program", "tour");
@@ -131,14 +134,14 @@
         ),
     ];
     for (name, headers) in cases {
-        check_headers(&rig, name, headers).await;
+        assert_completion_session(&entry, name, headers).await;
     }
-    assert_eq!(rig.engine.handler().total_executions(), 0);
+    assert_eq!(entry.engine.handler().total_executions(), 0);
 }
 
 #[tokio::test]
 async fn routes() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let headers = [("authorization", key.as_str())];
     for (name, method, path) in [
@@ -165,24 +168,24 @@
         ("route_none", Method::GET, "/v2/models"),
         ("route_needs_permit", Method::POST, "/services/booking/pay"),
     ] {
-        check(&rig, name, (method, path), &headers, "").await;
+        assert_session(&entry, name, (method, path), &headers, "").await;
     }
     for dots in ["..", "%2e%2e", "%2E.", "."] {
         let path = format!("/services/booking/open/{dots}/pay");
         let request = format!(
             "POST {path} HTTP/1.1\r\nhost: vm\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
         );
-        let response = raw(rig.daemon.address(), &request).await;
+        let response = send_raw(entry.daemon.address(), &request).await;
         assert!(response.starts_with("HTTP/1.1 400"), "{path}: {response}");
     }
     let permits = (Method::POST, "/v1/programs/tour/permits");
-    check(&rig, "permit_malformed", permits, &headers, "{}").await;
-    assert_eq!(rig.plain.handler().total_executions(), 0);
+    assert_session(&entry, "permit_malformed", permits, &headers, "{}").await;
+    assert_eq!(entry.plain.handler().total_executions(), 0);
 }
 
 #[tokio::test]
 async fn turns() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let turn = |turn| {
         [
@@ -191,39 +194,40 @@
             ("kwd-turn", turn),
         ]
     };
-    check_headers(&rig, "turn_out_of_order", &turn("3")).await;
-    let first = rig
-        .complete(&turn("1"), &ask(&[("user", "oslo")], false))
+    assert_completion_session(&entry, "turn_out_of_order", &turn("3")).await;
+    let first = entry
+        .complete(&turn("1"), &completion_body(&[("user", "oslo")], false))
         .await;
     let continuation = first.headers()["kwd-continuation"].to_str().expect("text");
-    check_headers(&rig, "turn_no_continuation", &turn("2")).await;
+    assert_completion_session(&entry, "turn_no_continuation", &turn("2")).await;
     let carry = ("kwd-continuation", continuation);
     let [a, b, c] = turn("2");
-    check_headers(&rig, "turn_other_history", &[a, b, c, carry]).await;
+    assert_completion_session(&entry, "turn_other_history", &[a, b, c, carry]).await;
     let other = [a, ("kwd-program", "trip"), c, carry];
-    check_headers(&rig, "turn_other_program", &other).await;
-    let slow = bearer(SLOW);
+    assert_completion_session(&entry, "turn_other_program", &other).await;
+    let slow = bearer(LOW_RATE_KEY);
     let foreign = [("authorization", slow.as_str()), b, c, carry];
-    check_headers(&rig, "turn_other_account", &foreign).await;
-    let body = ask(&[("user", "bergen")], false).to_string();
-    check(&rig, "turn_duplicate", COMPLETE, &turn("1"), &body).await;
-    assert_eq!(rig.engine.handler().total_executions(), 1);
+    assert_completion_session(&entry, "turn_other_account", &foreign).await;
+    let body = completion_body(&[("user", "bergen")], false).to_string();
+    assert_session(&entry, "turn_duplicate", COMPLETIONS, &turn("1"), &body).await;
+    assert_eq!(entry.engine.handler().total_executions(), 1);
 }
 
 #[tokio::test]
 async fn limits() {
-    let rig = Rig::start().await;
-    let slow = bearer(SLOW);
+    let entry = EntryUnderTest::start().await;
+    let slow = bearer(LOW_RATE_KEY);
     let headers = [("authorization", slow.as_str())];
-    rig.complete(&headers, &ask(&[("user", "oslo")], false))
+    entry
+        .complete(&headers, &completion_body(&[("user", "oslo")], false))
         .await;
-    check_headers(&rig, "over_rate", &headers).await;
-    let small = bearer(SMALL);
+    assert_completion_session(&entry, "over_rate", &headers).await;
+    let small = bearer(SMALL_BUDGET_KEY);
     let headers = [
         ("authorization", small.as_str()),
         ("kwd-program", "tour"),
         ("kwd-turn", "1"),
     ];
-    check_headers(&rig, "over_budget", &headers).await;
-    assert_eq!(rig.engine.handler().total_executions(), 1);
+    assert_completion_session(&entry, "over_budget", &headers).await;
+    assert_eq!(entry.engine.handler().total_executions(), 1);
 }
--- a/crates/entry/tests/caller_gone.rs
+++ b/crates/entry/tests/caller_gone.rs
@@ -3,23 +3,23 @@
 mod support;
 
 use knapweeddale_testing::http::EngineFault;
-use support::{KEY, Rig, ask, bearer, until};
+use support::{EntryUnderTest, KEY, bearer, completion_body, wait_until};
 
 #[tokio::test]
 async fn attempt_is_cancelled() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
-    rig.engine.handler().plan(EngineFault::GateAfter(2));
+    entry.engine.handler().plan(EngineFault::GateAfter(2));
     let headers = [("authorization", key.as_str())];
-    let mut response = rig
-        .complete(&headers, &ask(&[("user", "oslo")], true))
+    let mut response = entry
+        .complete(&headers, &completion_body(&[("user", "oslo")], true))
         .await;
     response.chunk().await.expect("the stream starts");
     drop(response);
-    until(|| rig.engine.handler().cancelled() == 1).await;
-    let Rig {
+    wait_until(|| entry.engine.handler().cancelled() == 1).await;
+    let EntryUnderTest {
         daemon, platform, ..
-    } = rig;
+    } = entry;
     daemon.stop().await;
     let stored = platform.objects.with_prefix("charges/");
     let records: String = stored
--- a/crates/entry/tests/charge_records.rs
+++ b/crates/entry/tests/charge_records.rs
@@ -7,27 +7,27 @@
 use knapweeddale_entry::{Daemon, MonotonicClock};
 use knapweeddale_store::HttpObjectApi;
 use knapweeddale_testing::platform::Fault;
-use support::{KEY, Rig, SECRET, ask, bearer, scratch_file, settings};
+use support::{EntryUnderTest, KEY, SECRET, bearer, completion_body, scratch_file, settings};
 
 /// Runs calls, stops the VM under a fault, and starts it again without one.
-async fn records_after(fault: Fault, folder: &str, calls: usize) -> usize {
+async fn count_records_after(fault: Fault, folder: &str, calls: usize) -> usize {
     let folder = scratch_file(folder);
     // The folder exists only if an earlier run was cut.
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("folder");
     let data_folder = Some(folder.clone());
-    let rig = Rig::with(|settings, _| settings.data_folder = data_folder).await;
+    let entry = EntryUnderTest::start_with(|settings, _| settings.data_folder = data_folder).await;
     let key = bearer(KEY);
     for _ in 0..calls {
         let headers = [("authorization", key.as_str())];
-        let response = rig
-            .complete(&headers, &ask(&[("user", "oslo")], false))
+        let response = entry
+            .complete(&headers, &completion_body(&[("user", "oslo")], false))
             .await;
         assert_eq!(response.status(), 200);
     }
-    let Rig {
+    let EntryUnderTest {
         daemon, platform, ..
-    } = rig;
+    } = entry;
     platform.objects.set_fault(fault);
     daemon.stop().await;
     platform.objects.set_fault(Fault::None);
@@ -46,13 +46,13 @@
 
 #[tokio::test]
 async fn store_down() {
-    assert_eq!(records_after(Fault::Down, "charges-down", 3).await, 3);
+    assert_eq!(count_records_after(Fault::Down, "charges-down", 3).await, 3);
 }
 
 #[tokio::test]
-async fn store_answer_lost() {
+async fn store_response_lost() {
     assert_eq!(
-        records_after(Fault::LoseAnswers, "charges-lost", 3).await,
+        count_records_after(Fault::LoseAnswers, "charges-lost", 3).await,
         3
     );
 }
--- a/crates/entry/tests/daemon_process.rs
+++ b/crates/entry/tests/daemon_process.rs
@@ -12,7 +12,7 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_knapweeddale-entry");
 
 #[tokio::test]
-async fn serves_until_told_to_stop() {
+async fn serves_until_sigterm() {
     let platform = Platform::start(0).await;
     let engine = FakeEngine::start(EngineOptions::default())
         .await
--- a/crates/entry/tests/full_queue.rs
+++ b/crates/entry/tests/full_queue.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 
 use knapweeddale_entry::{Clock, MonotonicClock};
-use support::{KEY, Rig, ask, bearer};
+use support::{EntryUnderTest, KEY, bearer, completion_body};
 
 /// A clock that stops the control thread, which reads it before each tick.
 #[derive(Debug, Clone)]
@@ -43,20 +43,20 @@
         stopped: Arc::default(),
     };
     let queue_len = 4;
-    let rig = Rig::with_clock(clock.clone(), |settings, _| {
+    let entry = EntryUnderTest::start_with_clock(clock.clone(), |settings, _| {
         settings.input_queue_len = queue_len;
     })
     .await;
-    let rig = Arc::new(rig);
+    let entry = Arc::new(entry);
     clock.set_stopped(true);
     let calls: Vec<_> = (0..3 * queue_len)
         .map(|_| {
-            let rig = Arc::clone(&rig);
+            let entry = Arc::clone(&entry);
             tokio::spawn(async move {
                 let key = bearer(KEY);
                 let headers = [("authorization", key.as_str())];
-                let response = rig
-                    .complete(&headers, &ask(&[("user", "oslo")], false))
+                let response = entry
+                    .complete(&headers, &completion_body(&[("user", "oslo")], false))
                     .await;
                 (
                     response.status().as_u16(),
@@ -65,7 +65,8 @@
             })
         })
         .collect();
-    support::until(|| calls.iter().filter(|call| call.is_finished()).count() >= queue_len).await;
+    support::wait_until(|| calls.iter().filter(|call| call.is_finished()).count() >= queue_len)
+        .await;
     clock.set_stopped(false);
     let mut refused = 0;
     for call in calls {
@@ -79,6 +80,6 @@
         }
     }
     let ran = 3 * queue_len as u64 - refused;
-    assert_eq!(rig.engine.handler().total_executions(), ran);
+    assert_eq!(entry.engine.handler().total_executions(), ran);
     assert!(refused >= queue_len as u64);
 }
--- a/crates/entry/tests/graceful_stop.rs
+++ b/crates/entry/tests/graceful_stop.rs
@@ -3,30 +3,30 @@
 mod support;
 
 use knapweeddale_testing::http::EngineFault;
-use support::{KEY, Rig, ask, bearer};
+use support::{EntryUnderTest, KEY, bearer, completion_body};
 
 #[tokio::test]
 async fn stream_finishes() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
-    rig.engine.handler().plan(EngineFault::GateAfter(2));
+    entry.engine.handler().plan(EngineFault::GateAfter(2));
     let headers = [("authorization", key.as_str())];
-    let body = ask(&[("user", "oslo")], true);
-    let mut response = rig.complete(&headers, &body).await;
+    let body = completion_body(&[("user", "oslo")], true);
+    let mut response = entry.complete(&headers, &body).await;
     let first = response
         .chunk()
         .await
         .expect("the stream starts")
         .expect("a chunk");
     let mut text = String::from_utf8(first.to_vec()).expect("text");
-    let ready = rig.url("/readyz");
-    let complete = rig.url("/v1/chat/completions");
-    let Rig {
+    let ready = entry.url("/readyz");
+    let complete = entry.url("/v1/chat/completions");
+    let EntryUnderTest {
         daemon,
         engine,
         client,
         ..
-    } = rig;
+    } = entry;
     let stop = tokio::spawn(daemon.stop());
     loop {
         let response = client.get(&ready).send().await.expect("the VM answers");
--- a/crates/entry/tests/key_hygiene.rs
+++ b/crates/entry/tests/key_hygiene.rs
@@ -7,13 +7,13 @@
 
 use knapweeddale_config::LogFormat;
 use knapweeddale_entry::logs;
-use support::{KEY, Rig, ask, bearer};
+use support::{EntryUnderTest, KEY, bearer, completion_body};
 
 /// A log that the test can read.
 #[derive(Clone, Default)]
-struct Log(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Log {
+impl Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("lock").extend(bytes);
         Ok(bytes.len())
@@ -25,12 +25,12 @@
 }
 
 #[tokio::test]
-async fn key_stays_here() {
-    let log = Log::default();
+async fn key_is_not_leaked() {
+    let log = LogBuffer::default();
     let writer = log.clone();
     let log_init = logs::init_with(LogFormat::Text, "trace", move || writer.clone());
     log_init.expect("the only log");
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let cookie = format!("session={KEY}");
     let headers = [
@@ -43,38 +43,48 @@
         ("traceparent", KEY),
         ("x-kept", "plain text"),
     ];
-    rig.complete(&headers, &ask(&[("user", "oslo")], true))
+    entry
+        .complete(&headers, &completion_body(&[("user", "oslo")], true))
         .await
         .text()
         .await
         .expect("text");
-    rig.post("/services/booking/search", &headers, "hall").await;
-    rig.post(
-        &format!("/services/booking/search?key={KEY}"),
-        &headers,
-        "hall",
-    )
-    .await;
-    rig.post("/services/booking/search", &headers, KEY).await;
-    rig.post(&format!("/services/{KEY}/search"), &[], "hall")
+    entry
+        .post("/services/booking/search", &headers, "hall")
         .await;
-    rig.post(
-        &format!("/v1/programs/{KEY}/permits"),
-        &headers[..1],
-        r#"{"turn": 1}"#,
-    )
-    .await;
-    rig.complete(&headers[1..], &ask(&[("user", "no key")], false))
+    entry
+        .post(
+            &format!("/services/booking/search?key={KEY}"),
+            &headers,
+            "hall",
+        )
         .await;
-    let metrics = rig.get("/metrics").await;
-    let engine = String::from_utf8(rig.engine.handler().heads()).expect("text");
-    let plain = String::from_utf8(rig.plain.handler().heads()).expect("text");
+    entry.post("/services/booking/search", &headers, KEY).await;
+    entry
+        .post(&format!("/services/{KEY}/search"), &[], "hall")
+        .await;
+    entry
+        .post(
+            &format!("/v1/programs/{KEY}/permits"),
+            &headers[..1],
+            r#"{"turn": 1}"#,
+        )
+        .await;
+    entry
+        .complete(
+            &headers[1..],
+            &completion_body(&[("user", "no key")], false),
+        )
+        .await;
+    let metrics = entry.get("/metrics").await;
+    let engine = String::from_utf8(entry.engine.handler().heads()).expect("text");
+    let plain = String::from_utf8(entry.plain.handler().heads()).expect("text");
     assert!(
         plain.contains("x-kept: plain text"),
         "other headers are passed on: {plain}"
     );
-    assert_eq!(rig.plain.handler().total_executions(), 1);
-    let Rig { daemon, .. } = rig;
+    assert_eq!(entry.plain.handler().total_executions(), 1);
+    let EntryUnderTest { daemon, .. } = entry;
     daemon.stop().await;
     let log = String::from_utf8(log.0.lock().expect("lock").clone()).expect("text");
     assert!(log.contains("placement: "), "decisions are logged: {log}");
--- a/crates/entry/tests/model_orders.rs
+++ b/crates/entry/tests/model_orders.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use knapweeddale_testing::http::{EngineOptions, FakeEngine};
-use support::{KEY, Rig, ask, bearer, until};
+use support::{EntryUnderTest, KEY, bearer, completion_body, wait_until};
 
 #[tokio::test]
 async fn missing_model_is_loaded() {
@@ -12,18 +12,18 @@
         ..EngineOptions::default()
     };
     let engine = FakeEngine::start(options).await.expect("engine starts");
-    let rig = Rig::with(|_, document| {
+    let entry = EntryUnderTest::start_with(|_, document| {
         let upstream = &mut document.services[0].upstreams[0];
         upstream.address = engine.address().to_string();
         upstream.checks_fencing = true;
     })
     .await;
     let key = bearer(KEY);
-    until(|| engine.handler().models() == ["small"]).await;
+    wait_until(|| engine.handler().models() == ["small"]).await;
     let headers = [("authorization", key.as_str())];
-    let response = rig
-        .complete(&headers, &ask(&[("user", "plan")], false))
+    let response = entry
+        .complete(&headers, &completion_body(&[("user", "plan")], false))
         .await;
     assert_eq!(response.status(), 200);
-    assert_eq!(rig.engine.handler().total_executions(), 0);
+    assert_eq!(entry.engine.handler().total_executions(), 0);
 }
--- a/crates/entry/tests/silent_upstream.rs
+++ b/crates/entry/tests/silent_upstream.rs
@@ -5,26 +5,26 @@
 use knapweeddale_config::{Document, Settings};
 use knapweeddale_testing::http::{EngineFault, EngineOptions, FakeEngine};
 use serde_json::Value;
-use support::{KEY, Rig, add_engine, ask, bearer, events};
+use support::{EntryUnderTest, KEY, add_engine, bearer, completion_body, parse_events};
 
 /// Short limits; the fakes stay silent for ever, so that the length does not matter.
-fn short(settings: &mut Settings, _: &mut Document) {
+fn set_short_timeouts(settings: &mut Settings, _: &mut Document) {
     settings.first_token_ms = 100;
     settings.token_gap_ms = 100;
 }
 
 #[tokio::test]
 async fn stream_ends_with_error() {
-    let rig = Rig::with(short).await;
+    let entry = EntryUnderTest::start_with(set_short_timeouts).await;
     let key = bearer(KEY);
     let headers = [("authorization", key.as_str())];
-    rig.engine.handler().plan(EngineFault::SilentAfter(2));
-    let response = rig
-        .complete(&headers, &ask(&[("user", "oslo")], true))
+    entry.engine.handler().plan(EngineFault::SilentAfter(2));
+    let response = entry
+        .complete(&headers, &completion_body(&[("user", "oslo")], true))
         .await;
     let text = response.text().await.expect("the stream ends");
     assert!(!text.contains("[DONE]"), "{text}");
-    let events = events(&text);
+    let events = parse_events(&text);
     let error = &events.last().expect("events")["error"];
     assert_eq!(
         (&error["kind"], &error["ran"]),
@@ -32,8 +32,8 @@
     );
     let parts = events.iter().filter(|event| event["choices"].is_array());
     assert_eq!(parts.count(), 2);
-    let again = rig
-        .complete(&headers, &ask(&[("user", "oslo")], true))
+    let again = entry
+        .complete(&headers, &completion_body(&[("user", "oslo")], true))
         .await;
     let text = again.text().await.expect("text");
     assert!(
@@ -43,24 +43,24 @@
 }
 
 #[tokio::test]
-async fn unseen_answer_is_retried() {
+async fn unsent_response_is_retried() {
     let second = FakeEngine::start(EngineOptions::default())
         .await
         .expect("engine starts");
-    let rig = Rig::with(|settings, document| {
-        short(settings, document);
+    let entry = EntryUnderTest::start_with(|settings, document| {
+        set_short_timeouts(settings, document);
         add_engine(document, &second);
     })
     .await;
     let key = bearer(KEY);
-    for engine in [&rig.engine, &second] {
+    for engine in [&entry.engine, &second] {
         engine.handler().plan(EngineFault::SilentAfter(2));
     }
     let headers = [("authorization", key.as_str()), ("x-request-id", "draft")];
     // Each engine is silent for its first request only, so that the third
     // attempt is the first one to get an answer.
-    let response = rig
-        .complete(&headers, &ask(&[("user", "oslo")], false))
+    let response = entry
+        .complete(&headers, &completion_body(&[("user", "oslo")], false))
         .await;
     assert_eq!(response.status(), 200);
     let answer: Value = response.json().await.expect("JSON");
@@ -69,16 +69,16 @@
         content, "oslo-0 oslo-1 oslo-2 oslo-3 ",
         "no part of another attempt is mixed in"
     );
-    let runs = rig.engine.handler().executions("draft") + second.handler().executions("draft");
+    let runs = entry.engine.handler().executions("draft") + second.handler().executions("draft");
     assert_eq!(runs, 3);
 }
 
 #[tokio::test]
 async fn payment_is_not_retried() {
-    let rig = Rig::with(short).await;
+    let entry = EntryUnderTest::start_with(set_short_timeouts).await;
     let key = bearer(KEY);
     let headers = [("authorization", key.as_str())];
-    let issued = rig
+    let issued = entry
         .post("/v1/programs/tour/permits", &headers, r#"{"turn": 1}"#)
         .await;
     let permit = issued.headers()["kwd-permit"]
@@ -92,11 +92,11 @@
         ("kwd-permit", &permit),
         ("x-request-id", "deposit"),
     ];
-    rig.plain.handler().hang_next();
+    entry.plain.handler().hang_next();
     for _ in 0..2 {
-        let response = rig.post("/services/booking/pay", &pay, "50 EUR").await;
+        let response = entry.post("/services/booking/pay", &pay, "50 EUR").await;
         assert_eq!(response.headers()["kwd-ran"], "may_have_run");
         assert!(!response.status().is_success());
     }
-    assert_eq!(rig.plain.handler().executions("deposit"), 1);
+    assert_eq!(entry.plain.handler().executions("deposit"), 1);
 }
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -17,14 +17,14 @@
 use tokio::net::TcpStream;
 
 pub const KEY: &str = "kwd_desk_0123456789abcdefghijABCDEFGHIJ01";
-pub const WITHDRAWN: &str = "kwd_old_0123456789abcdefghijABCDEFGHIJ02";
-pub const UNPUBLISHED: &str = "kwd_new_0123456789abcdefghijABCDEFGHIJ03";
-pub const SLOW: &str = "kwd_slow_0123456789abcdefghijABCDEFGHIJ04";
-pub const SMALL: &str = "kwd_small_0123456789abcdefghijABCDEFGHIJ05";
+pub const WITHDRAWN_KEY: &str = "kwd_old_0123456789abcdefghijABCDEFGHIJ02";
+pub const UNPUBLISHED_KEY: &str = "kwd_new_0123456789abcdefghijABCDEFGHIJ03";
+pub const LOW_RATE_KEY: &str = "kwd_slow_0123456789abcdefghijABCDEFGHIJ04";
+pub const SMALL_BUDGET_KEY: &str = "kwd_small_0123456789abcdefghijABCDEFGHIJ05";
 pub const SECRET: &[u8] = b"a secret that all VMs of the fleet share";
 
 /// One VM with its surroundings.
-pub struct Rig<C = MonotonicClock> {
+pub struct EntryUnderTest<C = MonotonicClock> {
     pub daemon: Daemon<C>,
     pub platform: Platform,
     pub engine: FakeServer<FakeEngine>,
@@ -32,21 +32,24 @@
     pub client: Client,
 }
 
-impl Rig {
+impl EntryUnderTest {
     /// Starts everything and waits until the VM is ready.
     pub async fn start() -> Self {
-        Self::with(|_, _| {}).await
+        Self::start_with(|_, _| {}).await
     }
 
     /// Starts with changed settings and files.
-    pub async fn with(change: impl FnOnce(&mut Settings, &mut Document)) -> Self {
-        Self::with_clock(MonotonicClock::start(), change).await
+    pub async fn start_with(change: impl FnOnce(&mut Settings, &mut Document)) -> Self {
+        Self::start_with_clock(MonotonicClock::start(), change).await
     }
 }
 
-impl<C: Clock> Rig<C> {
+impl<C: Clock> EntryUnderTest<C> {
     /// Starts with a clock and changed settings and files.
-    pub async fn with_clock(clock: C, change: impl FnOnce(&mut Settings, &mut Document)) -> Self {
+    pub async fn start_with_clock(
+        clock: C,
+        change: impl FnOnce(&mut Settings, &mut Document),
+    ) -> Self {
         let platform = Platform::start(0).await;
         let engine = FakeEngine::start(EngineOptions::default()).await;
         let engine = engine.expect("engine starts");
@@ -131,14 +134,14 @@
 }
 
 /// Waits until something outside the VM has happened.
-pub async fn until(happened: impl Fn() -> bool) {
+pub async fn wait_until(happened: impl Fn() -> bool) {
     while !happened() {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
 }
 
 /// Returns a body that asks for 4 tokens.
-pub fn ask(messages: &[(&str, &str)], stream: bool) -> Value {
+pub fn completion_body(messages: &[(&str, &str)], stream: bool) -> Value {
     let messages: Vec<Value> = messages
         .iter()
         .map(|(role, content)| json!({"role": role, "content": content}))
@@ -147,7 +150,7 @@
 }
 
 /// Returns the data of all events of a stream.
-pub fn events(text: &str) -> Vec<Value> {
+pub fn parse_events(text: &str) -> Vec<Value> {
     text.split("\n\n")
         .filter_map(|event| event.strip_prefix("data: "))
         .filter(|data| *data != "[DONE]")
@@ -157,7 +160,7 @@
 
 /// Formats a response as a session: status, own headers and body, with the
 /// values that change from run to run replaced.
-pub async fn session(request: &str, response: Response) -> String {
+pub async fn format_session(request: &str, response: Response) -> String {
     let status = response.status();
     let names = ["content-type", "kwd-ran"];
     let headers: BTreeMap<_, _> = response
@@ -192,7 +195,7 @@
 }
 
 /// Sends bytes over a new connection and returns the start of the response.
-pub async fn raw(address: std::net::SocketAddr, request: &str) -> String {
+pub async fn send_raw(address: std::net::SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("the VM listens");
     let sent = stream.write_all(request.as_bytes()).await;
     sent.expect("the VM reads");
@@ -236,10 +239,10 @@
             1_000.0,
             100,
             1_000_000,
-            vec![key(KEY), withdrawn()],
+            vec![key_file(KEY), withdrawn_key_file()],
         ),
-        account("berg", 0.001, 1, 1_000_000, vec![key(SLOW)]),
-        account("clyde", 1_000.0, 100, 20, vec![key(SMALL)]),
+        account("berg", 0.001, 1, 1_000_000, vec![key_file(LOW_RATE_KEY)]),
+        account("clyde", 1_000.0, 100, 20, vec![key_file(SMALL_BUDGET_KEY)]),
     ]
 }
 
@@ -258,7 +261,7 @@
         .collect()
 }
 
-fn key(text: &str) -> KeyFile {
+fn key_file(text: &str) -> KeyFile {
     let key: CallerKey = text.parse().expect("key");
     let digest = key.digest().0;
     KeyFile {
@@ -268,10 +271,10 @@
     }
 }
 
-fn withdrawn() -> KeyFile {
+fn withdrawn_key_file() -> KeyFile {
     KeyFile {
         withdrawn: true,
-        ..key(WITHDRAWN)
+        ..key_file(WITHDRAWN_KEY)
     }
 }
 
--- a/crates/entry/tests/two_vms.rs
+++ b/crates/entry/tests/two_vms.rs
@@ -6,15 +6,15 @@
 use knapweeddale_store::HttpObjectApi;
 use knapweeddale_testing::platform::{Fault, VmRow};
 use serde_json::Value;
-use support::{KEY, Rig, SECRET, ask, bearer, settings};
+use support::{EntryUnderTest, KEY, SECRET, bearer, completion_body, settings};
 
-/// Starts a second VM beside that of a rig and waits until both know each other.
-async fn start_second(rig: &Rig) -> Daemon<MonotonicClock> {
-    let mut settings = settings(&rig.platform.url());
+/// Starts a second VM beside that of a entry and waits until both know each other.
+async fn start_second(entry: &EntryUnderTest) -> Daemon<MonotonicClock> {
+    let mut settings = settings(&entry.platform.url());
     settings.vm = "vm-2".to_owned();
     settings.failure_domain = "south".to_owned();
     let api = HttpObjectApi::builder()
-        .base_url(&rig.platform.url())
+        .base_url(&entry.platform.url())
         .build();
     let api = api.expect("client of the platform");
     let second = Daemon::start(settings, SECRET, api, MonotonicClock::start()).await;
@@ -24,10 +24,10 @@
         address: daemon.peer_address().to_string(),
         leaving: false,
     };
-    let rows = vec![row("vm-1", &rig.daemon), row("vm-2", &second)];
-    rig.platform.objects.set_vms(rows);
+    let rows = vec![row("vm-1", &entry.daemon), row("vm-2", &second)];
+    entry.platform.objects.set_vms(rows);
     second.wait_until_ready().await;
-    while !rig.get("/metrics").await.contains("kwd_epoch 2") {
+    while !entry.get("/metrics").await.contains("kwd_epoch 2") {
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
     second
@@ -35,13 +35,13 @@
 
 #[tokio::test]
 async fn start_without_store() {
-    let rig = Rig::start().await;
-    rig.platform.objects.set_fault(Fault::Down);
-    let mut settings = settings(&rig.platform.url());
+    let entry = EntryUnderTest::start().await;
+    entry.platform.objects.set_fault(Fault::Down);
+    let mut settings = settings(&entry.platform.url());
     settings.vm = "vm-2".to_owned();
-    settings.known_peers = vec![rig.daemon.peer_address()];
+    settings.known_peers = vec![entry.daemon.peer_address()];
     let api = HttpObjectApi::builder()
-        .base_url(&rig.platform.url())
+        .base_url(&entry.platform.url())
         .build();
     let api = api.expect("client of the platform");
     let second = Daemon::start(settings, SECRET, api, MonotonicClock::start()).await;
@@ -65,8 +65,8 @@
 
 #[tokio::test]
 async fn turns_move_between_vms() {
-    let rig = Rig::start().await;
-    let second = start_second(&rig).await;
+    let entry = EntryUnderTest::start().await;
+    let second = start_second(&entry).await;
     let url = format!("http://{}/v1/chat/completions", second.address());
     let key = bearer(KEY);
     // Homes are spread by hash, so that both VMs are home of some programs.
@@ -82,14 +82,14 @@
             ]
         };
         let send = |headers: Vec<(&'static str, &str)>, body: &Value| {
-            let mut request = rig.client.post(&url).body(body.to_string());
+            let mut request = entry.client.post(&url).body(body.to_string());
             for (name, value) in headers {
                 request = request.header(name, value);
             }
             request.send()
         };
-        let body = ask(&[("user", "oslo")], false);
-        let first = rig.complete(&headers("1"), &body).await;
+        let body = completion_body(&[("user", "oslo")], false);
+        let first = entry.complete(&headers("1"), &body).await;
         assert_eq!(first.status(), 200, "{program}");
         let continuation = first.headers()["kwd-continuation"].clone();
         let continuation = continuation.to_str().expect("text");
@@ -102,12 +102,12 @@
             first,
             "the response is fetched"
         );
-        assert_eq!(rig.engine.handler().executions(&request), 1);
+        assert_eq!(entry.engine.handler().executions(&request), 1);
         let answer: Value = serde_json::from_str(&first).expect("JSON");
         let answer = answer["choices"][0]["message"]["content"]
             .as_str()
             .expect("text");
-        let body = ask(
+        let body = completion_body(
             &[("user", "oslo"), ("assistant", answer), ("user", "bergen")],
             false,
         );
--- a/crates/entry/tests/whole_path.rs
+++ b/crates/entry/tests/whole_path.rs
@@ -4,7 +4,7 @@
 
 use reqwest::Response;
 use serde_json::Value;
-use support::{KEY, Rig, ask, bearer, events};
+use support::{EntryUnderTest, KEY, bearer, completion_body, parse_events};
 
 fn header<'a>(response: &'a Response, name: &str) -> &'a str {
     let value = response.headers().get(name);
@@ -18,16 +18,16 @@
 }
 
 #[tokio::test]
-async fn turns_follow_each_other() {
-    let rig = Rig::start().await;
+async fn consecutive_turns() {
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let first = [
         ("authorization", key.as_str()),
         ("kwd-program", "tour"),
         ("kwd-turn", "1"),
     ];
-    let response = rig
-        .complete(&first, &ask(&[("user", "plan oslo")], false))
+    let response = entry
+        .complete(&first, &completion_body(&[("user", "plan oslo")], false))
         .await;
     assert_eq!(response.status(), 200);
     assert_eq!(header(&response, "kwd-ran"), "ran");
@@ -46,15 +46,19 @@
         ("assistant", content(&answer)),
         ("user", "and bergen"),
     ];
-    let response = rig.complete(&second, &ask(&messages, true)).await;
+    let response = entry
+        .complete(&second, &completion_body(&messages, true))
+        .await;
     assert_eq!(header(&response, "content-type"), "text/event-stream");
     let text = response.text().await.expect("text");
     assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
-    let again = rig.complete(&second, &ask(&messages, true)).await;
+    let again = entry
+        .complete(&second, &completion_body(&messages, true))
+        .await;
     let again = again.text().await.expect("text");
-    let last = events(&again).pop().expect("events");
+    let last = parse_events(&again).pop().expect("events");
     assert!(again.ends_with("data: [DONE]\n\n") && last["kwd-continuation"].is_string());
-    let events = events(&text);
+    let events = parse_events(&text);
     let streamed: String = events
         .iter()
         .filter_map(|event| event["choices"][0]["delta"]["content"].as_str())
@@ -66,19 +70,21 @@
     let usage = events.iter().rev().find(|event| event["usage"].is_object());
     let cached = &usage.expect("usage")["usage"]["prompt_tokens_details"]["cached_tokens"];
     assert_eq!(cached, 2, "the engine knows the program's prefix");
-    assert_eq!(rig.engine.handler().total_executions(), 2);
+    assert_eq!(entry.engine.handler().total_executions(), 2);
 }
 
 #[tokio::test]
 async fn payment_runs_once() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let first = [
         ("authorization", key.as_str()),
         ("kwd-program", "tour"),
         ("kwd-turn", "1"),
     ];
-    let response = rig.complete(&first, &ask(&[("user", "pay")], false)).await;
+    let response = entry
+        .complete(&first, &completion_body(&[("user", "pay")], false))
+        .await;
     let permit = header(&response, "kwd-permit").to_owned();
     let continuation = header(&response, "kwd-continuation").to_owned();
     let second = [
@@ -89,25 +95,25 @@
         ("kwd-permit", &permit),
         ("x-request-id", "deposit"),
     ];
-    let paid = rig.post("/services/booking/pay", &second, "50 EUR").await;
+    let paid = entry.post("/services/booking/pay", &second, "50 EUR").await;
     assert_eq!(
         (paid.status().as_u16(), header(&paid, "kwd-ran")),
         (200, "ran")
     );
     let paid = paid.text().await.expect("text");
-    let again = rig.post("/services/booking/pay", &second, "50 EUR").await;
+    let again = entry.post("/services/booking/pay", &second, "50 EUR").await;
     assert_eq!(again.status(), 200);
     assert_eq!(again.text().await.expect("text"), paid);
-    let other = rig.post("/services/booking/pay", &second, "70 EUR").await;
+    let other = entry.post("/services/booking/pay", &second, "70 EUR").await;
     let status = other.status();
     assert_eq!(status, 409, "a kept response answers its own request only");
-    assert_eq!(rig.plain.handler().executions("deposit"), 1);
+    assert_eq!(entry.plain.handler().executions("deposit"), 1);
 }
 
 #[tokio::test]
 async fn open_route_needs_no_key() {
-    let rig = Rig::start().await;
-    let response = rig
+    let entry = EntryUnderTest::start().await;
+    let response = entry
         .post("/services/booking/open/fees?year=2", &[], "")
         .await;
     let echo: Value = response.json().await.expect("JSON");
@@ -118,16 +124,18 @@
 }
 
 #[tokio::test]
-async fn trace_is_passed_on() {
-    let rig = Rig::start().await;
+async fn trace_is_forwarded() {
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     let headers = [("authorization", key.as_str()), ("traceparent", parent)];
-    rig.complete(&headers, &ask(&[("user", "oslo")], false))
+    entry
+        .complete(&headers, &completion_body(&[("user", "oslo")], false))
         .await;
-    rig.complete(&headers[..1], &ask(&[("user", "oslo")], false))
+    entry
+        .complete(&headers[..1], &completion_body(&[("user", "oslo")], false))
         .await;
-    let heads = String::from_utf8(rig.engine.handler().heads()).expect("text");
+    let heads = String::from_utf8(entry.engine.handler().heads()).expect("text");
     let traces: Vec<&str> = heads
         .lines()
         .filter(|l| l.starts_with("traceparent: "))
@@ -143,18 +151,18 @@
 
 #[tokio::test]
 async fn charges_reach_the_store() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     for stream in [false, true] {
         let headers = [("authorization", key.as_str())];
-        let response = rig
-            .complete(&headers, &ask(&[("user", "oslo")], stream))
+        let response = entry
+            .complete(&headers, &completion_body(&[("user", "oslo")], stream))
             .await;
         response.text().await.expect("text");
     }
-    let Rig {
+    let EntryUnderTest {
         daemon, platform, ..
-    } = rig;
+    } = entry;
     daemon.stop().await;
     let objects = platform.objects.with_prefix("charges/");
     let lines: Vec<Value> = objects
@@ -178,16 +186,16 @@
 
 #[tokio::test]
 async fn models_and_health() {
-    let rig = Rig::start().await;
-    assert!(rig.get("/v1/models").await.contains(r#""id":"small""#));
-    assert_eq!(rig.get("/healthz").await, r#"{"healthy":true}"#);
-    assert_eq!(rig.get("/readyz").await, r#"{"ready":true,"reasons":[]}"#);
-    assert!(rig.get("/metrics").await.contains("kwd_revision 1"));
+    let entry = EntryUnderTest::start().await;
+    assert!(entry.get("/v1/models").await.contains(r#""id":"small""#));
+    assert_eq!(entry.get("/healthz").await, r#"{"healthy":true}"#);
+    assert_eq!(entry.get("/readyz").await, r#"{"ready":true,"reasons":[]}"#);
+    assert!(entry.get("/metrics").await.contains("kwd_revision 1"));
 }
 
 #[tokio::test]
 async fn plain_turn_keeps_history() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let turn = |turn| {
         vec![
@@ -196,11 +204,11 @@
             ("kwd-turn", turn),
         ]
     };
-    let response = rig
-        .complete(&turn("1"), &ask(&[("user", "oslo")], false))
+    let response = entry
+        .complete(&turn("1"), &completion_body(&[("user", "oslo")], false))
         .await;
     let answer: Value = response.json().await.expect("JSON");
-    let response = rig
+    let response = entry
         .post("/services/booking/search", &turn("2"), "hall")
         .await;
     assert_eq!(response.status(), 200);
@@ -212,10 +220,14 @@
         ("assistant", content(&answer)),
         ("tool", "hall is free"),
     ];
-    let response = rig.complete(&third, &ask(&messages, false)).await;
+    let response = entry
+        .complete(&third, &completion_body(&messages, false))
+        .await;
     assert_eq!(response.status(), 409, "the history is still checked");
     messages[0].1 = "oslo";
-    let response = rig.complete(&third, &ask(&messages, false)).await;
+    let response = entry
+        .complete(&third, &completion_body(&messages, false))
+        .await;
     assert_eq!(
         response.status(),
         200,
@@ -225,10 +237,10 @@
 
 #[tokio::test]
 async fn permit_and_end() {
-    let rig = Rig::start().await;
+    let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let headers = [("authorization", key.as_str())];
-    let issued = rig
+    let issued = entry
         .post("/v1/programs/tour/permits", &headers, r#"{"turn": 1}"#)
         .await;
     assert_eq!(issued.status(), 200);
@@ -240,16 +252,16 @@
         ("kwd-permit", &permit),
         ("x-request-id", "deposit"),
     ];
-    let paid = rig.post("/services/booking/pay", &pay, "50 EUR").await;
+    let paid = entry.post("/services/booking/pay", &pay, "50 EUR").await;
     assert_eq!(paid.status(), 200, "{}", paid.text().await.expect("text"));
-    let url = rig.url("/v1/programs/tour");
-    let ended = rig
+    let url = entry.url("/v1/programs/tour");
+    let ended = entry
         .client
         .delete(url)
         .header("authorization", &key)
         .send()
         .await;
     assert_eq!(ended.expect("the VM answers").status(), 200);
-    rig.post("/services/booking/pay", &pay, "50 EUR").await;
-    assert_eq!(rig.plain.handler().executions("deposit"), 1);
+    entry.post("/services/booking/pay", &pay, "50 EUR").await;
+    assert_eq!(entry.plain.handler().executions("deposit"), 1);
 }
