--- a/crates/entry/src/call/task.rs
+++ b/crates/entry/src/call/task.rs
@@ -316,7 +316,7 @@
                 retry_after_ms: None,
             };
             let detail =
-                "the turn ran before; its response is no longer cached, or the content differs";
+                "the turn ran before; its response is no longer kept, or the content differs";
             return self.send_refusal(&refusal, Some(detail)).await;
         };
         let mut reply = reply;
--- a/crates/entry/src/front/completions.rs
+++ b/crates/entry/src/front/completions.rs
@@ -110,21 +110,18 @@
             serde_json::from_slice(raw).map_err(|e| malformed("", &format!("not JSON ({e})")))?;
         let model = match fields.get("model").and_then(Value::as_str) {
             Some(model) if !model.is_empty() => ModelName::from(model),
-            _ => return Err(malformed("`model`", "missing or not a string")),
+            _ => return Err(malformed("`model`", "missing or no text")),
         };
         let messages = match fields.get("messages").and_then(Value::as_array) {
             Some(messages) if !messages.is_empty() => messages,
-            _ => return Err(malformed("`messages`", "missing, empty or not a list")),
+            _ => return Err(malformed("`messages`", "missing, empty or no list")),
         };
         let mut prompt_tokens = 0;
         let mut chain = HistoryChain::default();
         let mut history = vec![chain];
         for (number, message) in messages.iter().enumerate() {
             if !message["role"].is_string() {
-                return Err(malformed(
-                    &format!("`messages[{number}].role`"),
-                    "not a string",
-                ));
+                return Err(malformed(&format!("`messages[{number}].role`"), "no text"));
             }
             let canonical = canonical_message(message);
             prompt_tokens += canonical.len().div_ceil(BYTES_PER_TOKEN) as u64 + TOKENS_PER_MESSAGE;
@@ -193,7 +190,7 @@
     };
     match value.as_u64() {
         Some(tokens) if tokens > 0 => Ok(tokens),
-        _ => Err(malformed(&format!("`{name}`"), "not a positive integer")),
+        _ => Err(malformed(&format!("`{name}`"), "no number from 1")),
     }
 }
 
--- a/crates/entry/src/front/headers.rs
+++ b/crates/entry/src/front/headers.rs
@@ -44,7 +44,7 @@
         };
         let text = String::from_utf8_lossy(text);
         if text.contains(key.expose()) {
-            let detail = format!("the {part} contains the key; send it in `authorization` only");
+            let detail = format!("the {part} holds the key; send it in `authorization` only");
             return Err(FrontError::malformed(detail));
         }
         Ok(())
@@ -81,12 +81,12 @@
         };
         let name = read_program_name(name, key)?;
         check_parent(&name, headers.get_one("kwd-parent"))?;
-        let missing = || FrontError::malformed("kwd-turn is missing; send a positive integer");
+        let missing = || FrontError::malformed("kwd-turn is missing; send a number from 1");
         let turn = headers.get_one("kwd-turn").ok_or_else(missing)?;
         let turn = match turn.parse::<u32>() {
             Ok(turn) if turn > 0 => turn,
             _ => {
-                let detail = format!("kwd-turn is {turn:?}; send a positive integer");
+                let detail = format!("kwd-turn is {turn:?}; send a number from 1");
                 return Err(FrontError::malformed(detail));
             }
         };
@@ -166,13 +166,13 @@
     key: Option<&CallerKey>,
 ) -> Result<ProgramName, FrontError> {
     if key.is_some_and(|key| name.contains(key.expose())) {
-        let detail = "the program name contains the key; program names are logged";
+        let detail = "the name of the program holds the key; names of programs are logged";
         return Err(FrontError::malformed(detail));
     }
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'/');
     let has_empty_part = name.split('/').any(str::is_empty);
     if name.len() > MAX_PROGRAM_BYTES || has_empty_part || !name.bytes().all(is_allowed) {
-        let detail = "the program name is malformed; \
+        let detail = "the name of the program is malformed; \
             use at most 200 letters, digits, `-`, `_`, `.`, and `/` before a sub-agent";
         return Err(FrontError::malformed(detail));
     }
--- a/crates/entry/src/front/refuse.rs
+++ b/crates/entry/src/front/refuse.rs
@@ -32,7 +32,7 @@
     pub fn overloaded() -> Self {
         Self {
             kind: RefusalKind::Overloaded,
-            detail: "the VM is overloaded".to_owned(),
+            detail: "the VM has more calls than it can hold".to_owned(),
             retry_after_ms: Some(1_000),
         }
     }
