--- a/crates/store/src/api/mod.rs
+++ b/crates/store/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object API as a trait.
+//! Trait for the platform's object API and its data types.
 
 use std::time::Duration;
 
@@ -6,48 +6,48 @@
 
 use crate::StoreError;
 
-/// An object with its version.
+/// A stored object and its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// The version, which grows with each write.
+    /// Version of the object; each write increases it.
     pub version: u64,
-    /// The value, at most one megabyte.
+    /// Value of the object, at most 1 MB.
     pub value: Vec<u8>,
 }
 
 /// The key and version of an object in a list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectMeta {
-    /// The key.
+    /// Key of the object.
     pub key: String,
-    /// The version.
+    /// Version at the time of the list.
     pub version: u64,
 }
 
-/// One VM in the platform's list, which may lag.
+/// A VM in the platform's list, which may be out of date.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// The name.
+    /// Name of the VM.
     pub vm: String,
-    /// The address as `ip:port`.
+    /// Address of the VM, as `ip:port`.
     pub address: String,
-    /// Whether the VM is being removed.
+    /// Whether the platform is removing the VM.
     #[serde(default)]
     pub leaving: bool,
 }
 
 /// The platform's object API.
 ///
-/// Each call counts against the platform's limits, a waiting watch as one.
+/// Each call counts towards the platform's limits; a waiting watch counts as one call.
 pub trait ObjectApi: Send + Sync + 'static {
     /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Unavailable`] if there was no answer.
+    /// Returns [`StoreError::Unavailable`] if there is no response.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Object>, StoreError>> + Send;
 
-    /// Writes an object that has the expected version and returns the new version.
+    /// Writes an object if it has the expected version, and returns the new version.
     ///
     /// # Errors
     ///
@@ -60,23 +60,23 @@
         expected_version: u64,
     ) -> impl Future<Output = Result<u64, StoreError>> + Send;
 
-    /// Lists the objects whose key starts with a prefix.
+    /// Lists the keys and versions of the objects whose key starts with `prefix`.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Unavailable`] if there was no answer.
+    /// Returns [`StoreError::Unavailable`] if there is no response.
     fn list(
         &self,
         prefix: &str,
     ) -> impl Future<Output = Result<Vec<ObjectMeta>, StoreError>> + Send;
 
-    /// Reads the objects whose key starts with a prefix.
+    /// Reads the objects whose key starts with `prefix`, with their keys.
     ///
-    /// Objects that are removed in the meantime may be missing.
+    /// Objects that are deleted between the list and the read are left out.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Unavailable`] if there was no answer.
+    /// Returns [`StoreError::Unavailable`] if there is no response.
     fn entries(
         &self,
         prefix: &str,
@@ -92,12 +92,14 @@
         }
     }
 
-    /// Waits until an object is newer than a version; `None` after `wait` without a change.
+    /// Waits until the version of an object exceeds `after_version`; `None` if that does not
+    /// happen within `wait`.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Unavailable`] if there was no answer, also not to
-    /// the end of the wait: a silent watch must not look like an unchanged object.
+    /// Returns [`StoreError::Unavailable`] if there is no response, also if
+    /// none arrives by the end of the wait: a watch without a response must not look like an
+    /// unchanged object.
     fn watch(
         &self,
         key: &str,
@@ -109,6 +111,6 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Unavailable`] if there was no answer.
+    /// Returns [`StoreError::Unavailable`] if there is no response.
     fn vms(&self) -> impl Future<Output = Result<Vec<VmEntry>, StoreError>> + Send;
 }
--- a/crates/store/src/backoff/mod.rs
+++ b/crates/store/src/backoff/mod.rs
@@ -1,15 +1,15 @@
-//! Growing waits between attempts.
+//! Exponential backoff between attempts.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Wait after the first failure.
+/// Delay after the first failure, before jitter.
 const FIRST: Duration = Duration::from_millis(200);
 
-/// Longest wait.
+/// Maximum delay.
 const LONGEST: Duration = Duration::from_secs(10);
 
-/// Growing waits between attempts, spread differently for each VM.
+/// Exponential backoff with a jitter that differs for each VM.
 ///
 /// # Examples
 ///
@@ -31,7 +31,7 @@
 }
 
 impl Backoff {
-    /// Makes a back-off for a VM.
+    /// Creates a backoff whose jitter depends on the VM's name.
     pub fn new(vm: &str) -> Self {
         Self {
             vm: vm.to_owned(),
@@ -40,15 +40,15 @@
         }
     }
 
-    /// Starts over after a success.
+    /// Returns to the shortest delay after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Returns the wait before the next attempt.
+    /// Returns the delay before the next attempt.
     ///
-    /// The wait lies between 75% and 100% of a value that doubles with each
-    /// failure, so that VMs do not return to the store all at once.
+    /// The delay lies between 75% and 100% of a value that doubles with each
+    /// failure, so that the VMs do not all retry the store at the same time.
     pub fn next_wait(&mut self) -> Duration {
         let full = FIRST
             .saturating_mul(1 << self.failures.min(10))
--- a/crates/store/src/counted.rs
+++ b/crates/store/src/counted.rs
@@ -5,7 +5,7 @@
 
 use crate::{Object, ObjectApi, ObjectMeta, StoreError, VmEntry};
 
-/// Counts the calls to an object API and passes them on.
+/// Forwards calls to an object API and counts them.
 #[derive(Debug)]
 pub struct Counted<A> {
     api: A,
@@ -15,21 +15,21 @@
     failures: AtomicU64,
 }
 
-/// Calls since the start of the process.
+/// Number of calls by kind since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CallCounts {
-    /// Reads, lists and reads of the list of VMs.
+    /// Reads of an object, of a list of keys or of the list of VMs.
     pub reads: u64,
-    /// Writes.
+    /// Writes of an object, also those that were refused.
     pub writes: u64,
-    /// Watches opened.
+    /// Watches started.
     pub watches: u64,
-    /// Calls without an answer.
+    /// Calls that failed because the store was unavailable.
     pub failures: u64,
 }
 
 impl<A> Counted<A> {
-    /// Counts the calls to an API.
+    /// Wraps an API; all counts start at 0.
     pub fn new(api: A) -> Self {
         Self {
             api,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the calls so far.
+    /// Returns the current counts.
     pub fn counts(&self) -> CallCounts {
         CallCounts {
             reads: self.reads.load(Ordering::Relaxed),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Counts a result if it is a failure.
+    /// Counts a result that is [`StoreError::Unavailable`] and returns it unchanged.
     fn note<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
         if matches!(result, Err(StoreError::Unavailable { .. })) {
             self.failures.fetch_add(1, Ordering::Relaxed);
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -5,28 +5,28 @@
 /// A failed call to the platform's object API.
 #[derive(Debug, Clone, Display, Error, PartialEq, Eq)]
 pub enum StoreError {
-    /// The object has another version than the write named.
-    #[display("{key:?} has version {current}; read it and decide again")]
+    /// The version of the object differs from the one that the write expected.
+    #[display("object {key:?} now has version {current}; read it again before writing")]
     Conflict {
-        /// The key of the object.
+        /// Key of the object.
         key: String,
-        /// The version that the object has.
+        /// Current version of the object.
         current: u64,
     },
-    /// The store did not answer, or the answer was lost; a write may have taken effect.
+    /// No response arrived, or it was a temporary error; a write may have taken effect.
     #[display("the store did not answer ({reason}); read the object back before writing again")]
     Unavailable {
-        /// What went wrong.
+        /// Error of the HTTP client, or the status or defect of the response.
         reason: String,
     },
-    /// The store refused the request.
+    /// The store refused the request; a retry would fail too.
     #[display(
         "the store refused {key:?} with status {status}; check the key, size and credentials"
     )]
     Refused {
-        /// The key of the object.
+        /// Key of the object; the prefix for a list, `vms` for the list of VMs.
         key: String,
-        /// The HTTP status.
+        /// HTTP status code.
         status: u16,
     },
 }
--- a/crates/store/src/http/mod.rs
+++ b/crates/store/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object API over HTTP.
+//! HTTP client for the platform's object API.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 
 use crate::{Object, ObjectApi, ObjectMeta, StoreError, VmEntry};
 
-/// Time that an answer may take beyond the wait of a watch.
+/// Default timeout of a request; a watch adds its wait to it.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pooled connections are closed before the platform does so.
+/// Idle time after which pooled connections are closed, before the platform closes them.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The platform's object API over HTTP.
+/// HTTP client for the platform's object API.
 #[derive(Debug, Clone)]
 pub struct HttpObjectApi {
     client: Client,
@@ -22,7 +22,7 @@
     timeout: Duration,
 }
 
-/// The answer to a write.
+/// Body of the response to a write: the object's new version, or its current one on a conflict.
 #[derive(Debug, Deserialize)]
 struct Version {
     version: u64,
@@ -30,7 +30,7 @@
 
 #[bon]
 impl HttpObjectApi {
-    /// Makes a client for the API at a base URL.
+    /// Creates a client for the API at `base_url`.
     ///
     /// # Errors
     ///
@@ -57,7 +57,7 @@
         format!("{}/objects/{key}", self.base_url)
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response headers.
     async fn send(
         &self,
         request: RequestBuilder,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Reads an object from an answer.
+/// Reads an object from a response; `None` if the status is 404.
 async fn read_object(key: &str, response: Response) -> Result<Option<Object>, StoreError> {
     match response.status() {
         StatusCode::NOT_FOUND => Ok(None),
@@ -146,7 +146,7 @@
                 .get("version")
                 .and_then(|value| value.to_str().ok()?.parse().ok())
                 .ok_or_else(|| StoreError::Unavailable {
-                    reason: "the answer has no version".to_owned(),
+                    reason: "the response has no valid `version` header".to_owned(),
                 })?;
             let value = response
                 .bytes()
@@ -161,13 +161,13 @@
     }
 }
 
-/// Reads the version from the answer to a write.
+/// Reads the version from the response to a write.
 async fn read_version(response: Response) -> Result<u64, StoreError> {
-    let answer: Version = response.json().await.map_err(|error| unavailable(&error))?;
-    Ok(answer.version)
+    let response: Version = response.json().await.map_err(|error| unavailable(&error))?;
+    Ok(response.version)
 }
 
-/// Makes an error from a status; the store is unavailable while it answers 5xx.
+/// Converts an error status: 429 and 5xx are temporary, so the store counts as unavailable.
 fn failure(key: &str, status: StatusCode) -> StoreError {
     if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
         return StoreError::Unavailable {
@@ -180,7 +180,7 @@
     }
 }
 
-/// Makes an error from one of the HTTP client.
+/// Converts an error of the HTTP client.
 fn unavailable(error: &reqwest::Error) -> StoreError {
     StoreError::Unavailable {
         reason: error.to_string(),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! The client of the platform's object API.
+//! Client for the platform's object API.
 //!
-//! The API holds objects with versions. A write names the version that the
-//! object must have, 0 if it must not exist. A watch waits until an object is
-//! newer than a version.
+//! The API stores versioned objects. A write specifies the version that the
+//! object must have, 0 if it must not exist. A watch waits until the version of
+//! an object exceeds a given one.
 
 mod api;
 mod backoff;
@@ -16,11 +16,11 @@
 pub use error::StoreError;
 pub use http::HttpObjectApi;
 
-/// Key of the published configuration.
+/// Key of the published fleet configuration.
 pub const CONFIG_KEY: &str = "fleet/config";
 
-/// Key of the view.
+/// Key of the membership view.
 pub const VIEW_KEY: &str = "fleet/view";
 
-/// Start of the keys of charge records.
+/// Prefix of the keys of charge records.
 pub const CHARGES_PREFIX: &str = "charges/";
--- a/crates/store/tests/object_client.rs
+++ b/crates/store/tests/object_client.rs
@@ -1,4 +1,4 @@
-//! Guards against lost updates, stale watches and wrongly reported outages.
+//! Guards against lost updates, watches that miss a change, and outages reported as other results.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     let object = api
         .get("fleet/config")
         .await
-        .expect("answer")
+        .expect("response")
         .expect("object");
     assert_eq!((object.version, object.value), (1, b"one".to_vec()));
     assert_eq!(api.get("fleet/none").await, Ok(None));
@@ -38,7 +38,7 @@
     assert!(matches!(written, Err(StoreError::Unavailable { .. })));
     platform.objects.set_fault(Fault::None);
     assert_eq!(
-        api.get("a").await.expect("answer").map(|o| o.version),
+        api.get("a").await.expect("response").map(|o| o.version),
         Some(1)
     );
 }
@@ -51,7 +51,7 @@
         api.put("a", b"x".to_vec(), 0)
     );
     assert_eq!(written, Ok(1));
-    assert_eq!(seen.expect("answer").map(|o| o.version), Some(1));
+    assert_eq!(seen.expect("response").map(|o| o.version), Some(1));
     let unchanged = api.watch("a", 1, Duration::from_millis(1)).await;
     assert_eq!(unchanged, Ok(None));
 }
