--- a/crates/ctl/src/command/fleet.rs
+++ b/crates/ctl/src/command/fleet.rs
@@ -25,7 +25,7 @@
     let api = HttpObjectApi::builder().base_url(store).build()?;
     let (revision, _) = read_published(&api).await?;
     let addresses = if vms.is_empty() {
-        let entries = api.vms().await?;
+        let entries = api.list_vms().await?;
         entries.into_iter().map(|entry| entry.address).collect()
     } else {
         vms
--- a/crates/entry/src/daemon/background.rs
+++ b/crates/entry/src/daemon/background.rs
@@ -6,7 +6,7 @@
 use knapweeddale_config::Settings;
 use knapweeddale_core::output::Order;
 use knapweeddale_runtime::{Clock, ProbeRequest};
-use knapweeddale_store::{Counted, ObjectApi};
+use knapweeddale_store::{CountingApi, ObjectApi};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -29,7 +29,7 @@
 
 /// Starts the background tasks, which run until the process ends.
 pub(super) fn start<A: ObjectApi, C: Clock>(
-    api: &Arc<Counted<A>>,
+    api: &Arc<CountingApi<A>>,
     shared: &Arc<SharedState<C>>,
     settings: &Settings,
     queues: OutputQueues,
--- a/crates/entry/src/daemon/mod.rs
+++ b/crates/entry/src/daemon/mod.rs
@@ -18,7 +18,7 @@
 use knapweeddale_config::Settings;
 use knapweeddale_core::{Control, CoreSettings, StoreRequest};
 use knapweeddale_peer::{PeerOptions, PeerServer};
-use knapweeddale_store::{Counted, ObjectApi};
+use knapweeddale_store::{CountingApi, ObjectApi};
 use knapweeddale_token::{Signer, derive_secret};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -79,7 +79,7 @@
         api: A,
         clock: C,
     ) -> Result<Self, StartError> {
-        let api = Arc::new(Counted::new(api));
+        let api = Arc::new(CountingApi::new(api));
         let listener = TcpListener::bind(settings.peer_listen).await?;
         let mut core = settings.to_core(new_incarnation());
         // If the settings have port 0, the operating system chooses the port.
--- a/crates/entry/src/store/charges.rs
+++ b/crates/entry/src/store/charges.rs
@@ -113,7 +113,7 @@
                 self.backoff.reset();
                 BATCH_INTERVAL
             } else {
-                self.backoff.next_wait()
+                self.backoff.next_delay()
             };
             flush_at = Instant::now() + wait;
         }
--- a/crates/entry/src/store/config.rs
+++ b/crates/entry/src/store/config.rs
@@ -32,7 +32,7 @@
                 tracing::warn!("config: {error}");
                 // Read the object next time, since the watch may have missed a change.
                 known_version = None;
-                tokio::time::sleep(backoff.next_wait()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
             }
         }
     }
--- a/crates/entry/src/store/vms.rs
+++ b/crates/entry/src/store/vms.rs
@@ -24,7 +24,7 @@
     inputs: InputSender,
 ) {
     loop {
-        match api.vms().await {
+        match api.list_vms().await {
             Ok(entries) => {
                 let vms = entries.into_iter().map(|entry| ListedVm {
                     vm: VmName::from(entry.vm),
--- a/crates/relay/src/store/budgets.rs
+++ b/crates/relay/src/store/budgets.rs
@@ -190,7 +190,7 @@
     store: &S,
 ) -> Result<(u32, Vec<BudgetRecord>), StoreError> {
     let losses = record_loss(store).await?;
-    let entries = store.entries(PREFIX).await?;
+    let entries = store.get_by_prefix(PREFIX).await?;
     let mut records = Vec::with_capacity(entries.len());
     for (key, object) in &entries {
         records.push(decode_record(key, object)?);
--- a/crates/relay/src/store/registry.rs
+++ b/crates/relay/src/store/registry.rs
@@ -64,7 +64,7 @@
     knows_others: bool,
 ) -> Result<Vec<Registration>, StoreError> {
     let key = own.key();
-    let entries = store.entries(PREFIX).await?;
+    let entries = store.get_by_prefix(PREFIX).await?;
     let mut registered = decode_registrations(&entries);
     if registered.contains(own) {
         return Ok(registered);
@@ -80,7 +80,7 @@
         Err(error) => return Err(error),
     }
     if !knows_others {
-        let entries = store.entries(PREFIX).await?;
+        let entries = store.get_by_prefix(PREFIX).await?;
         return Ok(decode_registrations(&entries));
     }
     registered.retain(|row| row.vm != own.vm);
--- a/crates/store/src/api/mod.rs
+++ b/crates/store/src/api/mod.rs
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// Returns [`StoreError::Unavailable`] if there is no response.
-    fn entries(
+    fn get_by_prefix(
         &self,
         prefix: &str,
     ) -> impl Future<Output = Result<Vec<(String, Object)>, StoreError>> + Send {
@@ -112,5 +112,5 @@
     /// # Errors
     ///
     /// Returns [`StoreError::Unavailable`] if there is no response.
-    fn vms(&self) -> impl Future<Output = Result<Vec<VmEntry>, StoreError>> + Send;
+    fn list_vms(&self) -> impl Future<Output = Result<Vec<VmEntry>, StoreError>> + Send;
 }
--- a/crates/store/src/backoff/mod.rs
+++ b/crates/store/src/backoff/mod.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 /// Delay after the first failure, before jitter.
-const FIRST: Duration = Duration::from_millis(200);
+const INITIAL_DELAY: Duration = Duration::from_millis(200);
 
 /// Maximum delay.
-const LONGEST: Duration = Duration::from_secs(10);
+const MAX_DELAY: Duration = Duration::from_secs(10);
 
 /// Exponential backoff with a jitter that differs for each VM.
 ///
@@ -17,17 +17,17 @@
 /// use knapweeddale_store::Backoff;
 ///
 /// let mut backoff = Backoff::new("vm-1");
-/// let first = backoff.next_wait();
-/// let second = backoff.next_wait();
+/// let first = backoff.next_delay();
+/// let second = backoff.next_delay();
 /// assert!(first < second);
 /// backoff.reset();
-/// assert!(backoff.next_wait() < second);
+/// assert!(backoff.next_delay() < second);
 /// ```
 #[derive(Debug, Clone)]
 pub struct Backoff {
     vm: String,
     failures: u32,
-    waits: u64,
+    attempts: u64,
 }
 
 impl Backoff {
@@ -36,7 +36,7 @@
         Self {
             vm: vm.to_owned(),
             failures: 0,
-            waits: 0,
+            attempts: 0,
         }
     }
 
@@ -49,15 +49,15 @@
     ///
     /// The delay lies between 75% and 100% of a value that doubles with each
     /// failure, so that the VMs do not all retry the store at the same time.
-    pub fn next_wait(&mut self) -> Duration {
-        let full = FIRST
+    pub fn next_delay(&mut self) -> Duration {
+        let full_delay = INITIAL_DELAY
             .saturating_mul(1 << self.failures.min(10))
-            .min(LONGEST);
+            .min(MAX_DELAY);
         self.failures += 1;
-        self.waits += 1;
+        self.attempts += 1;
         let mut hasher = DefaultHasher::new();
-        (&self.vm, self.waits).hash(&mut hasher);
-        let spread_percent = 75 + hasher.finish() % 26;
-        full * spread_percent as u32 / 100
+        (&self.vm, self.attempts).hash(&mut hasher);
+        let scale_percent = 75 + hasher.finish() % 26;
+        full_delay * scale_percent as u32 / 100
     }
 }
--- a/crates/store/src/counted.rs
+++ b/crates/store/src/counting.rs
@@ -1,4 +1,4 @@
-//! Counts the calls to the platform's object API.
+//! Object API wrapper that counts calls.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 /// Forwards calls to an object API and counts them.
 #[derive(Debug)]
-pub struct Counted<A> {
+pub struct CountingApi<A> {
     api: A,
     reads: AtomicU64,
     writes: AtomicU64,
@@ -28,7 +28,7 @@
     pub failures: u64,
 }
 
-impl<A> Counted<A> {
+impl<A> CountingApi<A> {
     /// Wraps an API; all counts start at 0.
     pub fn new(api: A) -> Self {
         Self {
@@ -51,7 +51,7 @@
     }
 
     /// Counts a result that is [`StoreError::Unavailable`] and returns it unchanged.
-    fn note<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
+    fn record_failure<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
         if matches!(result, Err(StoreError::Unavailable { .. })) {
             self.failures.fetch_add(1, Ordering::Relaxed);
         }
@@ -59,10 +59,10 @@
     }
 }
 
-impl<A: ObjectApi> ObjectApi for Counted<A> {
+impl<A: ObjectApi> ObjectApi for CountingApi<A> {
     async fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
         self.reads.fetch_add(1, Ordering::Relaxed);
-        self.note(self.api.get(key).await)
+        self.record_failure(self.api.get(key).await)
     }
 
     async fn put(
@@ -72,12 +72,12 @@
         expected_version: u64,
     ) -> Result<u64, StoreError> {
         self.writes.fetch_add(1, Ordering::Relaxed);
-        self.note(self.api.put(key, value, expected_version).await)
+        self.record_failure(self.api.put(key, value, expected_version).await)
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<ObjectMeta>, StoreError> {
         self.reads.fetch_add(1, Ordering::Relaxed);
-        self.note(self.api.list(prefix).await)
+        self.record_failure(self.api.list(prefix).await)
     }
 
     async fn watch(
@@ -87,11 +87,11 @@
         wait: Duration,
     ) -> Result<Option<Object>, StoreError> {
         self.watches.fetch_add(1, Ordering::Relaxed);
-        self.note(self.api.watch(key, after_version, wait).await)
+        self.record_failure(self.api.watch(key, after_version, wait).await)
     }
 
-    async fn vms(&self) -> Result<Vec<VmEntry>, StoreError> {
+    async fn list_vms(&self) -> Result<Vec<VmEntry>, StoreError> {
         self.reads.fetch_add(1, Ordering::Relaxed);
-        self.note(self.api.vms().await)
+        self.record_failure(self.api.list_vms().await)
     }
 }
--- a/crates/store/src/http/mod.rs
+++ b/crates/store/src/http/mod.rs
@@ -24,7 +24,7 @@
 
 /// Body of the response to a write: the object's new version, or its current one on a conflict.
 #[derive(Debug, Deserialize)]
-struct Version {
+struct WriteResponse {
     version: u64,
 }
 
@@ -44,7 +44,7 @@
             .retry(reqwest::retry::never())
             .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .build()
-            .map_err(|error| unavailable(&error))?;
+            .map_err(|error| unavailable_error(&error))?;
         Ok(Self {
             client,
             base_url: base_url.trim_end_matches('/').to_owned(),
@@ -53,7 +53,7 @@
     }
 
     /// Returns the URL of an object.
-    fn url(&self, key: &str) -> String {
+    fn object_url(&self, key: &str) -> String {
         format!("{}/objects/{key}", self.base_url)
     }
 
@@ -67,14 +67,14 @@
             .timeout(timeout)
             .send()
             .await
-            .map_err(|error| unavailable(&error))
+            .map_err(|error| unavailable_error(&error))
     }
 }
 
 impl ObjectApi for HttpObjectApi {
     async fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
         let response = self
-            .send(self.client.get(self.url(key)), self.timeout)
+            .send(self.client.get(self.object_url(key)), self.timeout)
             .await?;
         read_object(key, response).await
     }
@@ -87,7 +87,7 @@
     ) -> Result<u64, StoreError> {
         let request = self
             .client
-            .put(self.url(key))
+            .put(self.object_url(key))
             .header("if-version", expected_version)
             .body(value);
         let response = self.send(request, self.timeout).await?;
@@ -98,7 +98,7 @@
                 key: key.to_owned(),
                 current: read_version(response).await?,
             }),
-            status => Err(failure(key, status)),
+            status => Err(status_error(key, status)),
         }
     }
 
@@ -106,9 +106,12 @@
         let url = format!("{}/objects?prefix={prefix}", self.base_url);
         let response = self.send(self.client.get(url), self.timeout).await?;
         if response.status() != StatusCode::OK {
-            return Err(failure(prefix, response.status()));
+            return Err(status_error(prefix, response.status()));
         }
-        response.json().await.map_err(|error| unavailable(&error))
+        response
+            .json()
+            .await
+            .map_err(|error| unavailable_error(&error))
     }
 
     async fn watch(
@@ -118,7 +121,10 @@
         wait: Duration,
     ) -> Result<Option<Object>, StoreError> {
         let wait_ms = wait.as_millis();
-        let url = format!("{}?after={after_version}&wait_ms={wait_ms}", self.url(key));
+        let url = format!(
+            "{}?after={after_version}&wait_ms={wait_ms}",
+            self.object_url(key)
+        );
         let response = self.send(self.client.get(url), self.timeout + wait).await?;
         if response.status() == StatusCode::NO_CONTENT {
             return Ok(None);
@@ -126,13 +132,16 @@
         read_object(key, response).await
     }
 
-    async fn vms(&self) -> Result<Vec<VmEntry>, StoreError> {
+    async fn list_vms(&self) -> Result<Vec<VmEntry>, StoreError> {
         let url = format!("{}/vms", self.base_url);
         let response = self.send(self.client.get(url), self.timeout).await?;
         if response.status() != StatusCode::OK {
-            return Err(failure("vms", response.status()));
+            return Err(status_error("vms", response.status()));
         }
-        response.json().await.map_err(|error| unavailable(&error))
+        response
+            .json()
+            .await
+            .map_err(|error| unavailable_error(&error))
     }
 }
 
@@ -151,24 +160,27 @@
             let value = response
                 .bytes()
                 .await
-                .map_err(|error| unavailable(&error))?;
+                .map_err(|error| unavailable_error(&error))?;
             Ok(Some(Object {
                 version,
                 value: value.to_vec(),
             }))
         }
-        status => Err(failure(key, status)),
+        status => Err(status_error(key, status)),
     }
 }
 
 /// Reads the version from the response to a write.
 async fn read_version(response: Response) -> Result<u64, StoreError> {
-    let response: Version = response.json().await.map_err(|error| unavailable(&error))?;
+    let response: WriteResponse = response
+        .json()
+        .await
+        .map_err(|error| unavailable_error(&error))?;
     Ok(response.version)
 }
 
 /// Converts an error status: 429 and 5xx are temporary, so the store counts as unavailable.
-fn failure(key: &str, status: StatusCode) -> StoreError {
+fn status_error(key: &str, status: StatusCode) -> StoreError {
     if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
         return StoreError::Unavailable {
             reason: format!("status {status}"),
@@ -181,7 +193,7 @@
 }
 
 /// Converts an error of the HTTP client.
-fn unavailable(error: &reqwest::Error) -> StoreError {
+fn unavailable_error(error: &reqwest::Error) -> StoreError {
     StoreError::Unavailable {
         reason: error.to_string(),
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -6,13 +6,13 @@
 
 mod api;
 mod backoff;
-mod counted;
+mod counting;
 mod error;
 mod http;
 
 pub use api::{Object, ObjectApi, ObjectMeta, VmEntry};
 pub use backoff::Backoff;
-pub use counted::{CallCounts, Counted};
+pub use counting::{CallCounts, CountingApi};
 pub use error::StoreError;
 pub use http::HttpObjectApi;
 
--- a/crates/store/tests/object_client.rs
+++ b/crates/store/tests/object_client.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use knapweeddale_store::{Counted, HttpObjectApi, ObjectApi, StoreError};
+use knapweeddale_store::{CountingApi, HttpObjectApi, ObjectApi, StoreError};
 use knapweeddale_testing::platform::{Fault, Platform};
 
-async fn start() -> (Platform, Counted<HttpObjectApi>) {
+async fn start() -> (Platform, CountingApi<HttpObjectApi>) {
     let platform = Platform::start(0).await;
     let api = HttpObjectApi::builder()
         .base_url(&platform.url())
         .timeout(Duration::from_millis(500))
         .build()
         .expect("client");
-    (platform, Counted::new(api))
+    (platform, CountingApi::new(api))
 }
 
 #[tokio::test]
@@ -70,7 +70,7 @@
     let (platform, api) = start().await;
     platform.objects.set_fault(Fault::Down);
     assert!(matches!(
-        api.vms().await,
+        api.list_vms().await,
         Err(StoreError::Unavailable { .. })
     ));
     assert!(matches!(
