--- a/crates/entry/tests/bad_input.rs
+++ b/crates/entry/tests/bad_input.rs
@@ -1,7 +1,7 @@
-//! Guards against refusals that change their form, status or claim.
+//! Guards against changes in the form, status or `kwd-ran` value of refusals.
 //!
-//! Each case is a golden session: the request, the status, the headers that
-//! callers rely on, and the body.
+//! Each case is a snapshot of a session: the request, the status, the headers that callers rely
+//! on, and the body.
 
 mod support;
 
@@ -12,7 +12,7 @@
     completion_body, format_session, send_raw,
 };
 
-/// Sends a request and compares the session with its golden file.
+/// Sends a request and compares the session with its snapshot.
 async fn assert_session(
     entry: &EntryUnderTest,
     name: &str,
@@ -32,7 +32,7 @@
 
 const COMPLETIONS: (Method, &str) = (Method::POST, "/v1/chat/completions");
 
-/// Checks a completion whose body is fine.
+/// Checks a completion with a valid body.
 async fn assert_completion_session(entry: &EntryUnderTest, name: &str, headers: &[(&str, &str)]) {
     let body = completion_body(&[("user", "oslo")], false).to_string();
     assert_session(entry, name, COMPLETIONS, headers, &body).await;
--- a/crates/entry/tests/caller_gone.rs
+++ b/crates/entry/tests/caller_gone.rs
@@ -1,4 +1,4 @@
-//! Guards against engines that generate for a caller who has left.
+//! Guards against engines that keep generating after the caller has disconnected.
 
 mod support;
 
--- a/crates/entry/tests/charge_records.rs
+++ b/crates/entry/tests/charge_records.rs
@@ -1,4 +1,4 @@
-//! Guards against charge records that are lost or written twice while the store fails.
+//! Guards against charge records that are lost or stored twice while the store fails.
 
 mod support;
 
@@ -9,10 +9,11 @@
 use knapweeddale_testing::platform::Fault;
 use support::{EntryUnderTest, KEY, SECRET, bearer, completion_body, scratch_file, settings};
 
-/// Runs calls, stops the VM under a fault, and starts it again without one.
+/// Runs calls, stops the VM while the store has a fault, starts it again without the fault, and
+/// returns the number of stored records.
 async fn count_records_after(fault: Fault, folder: &str, calls: usize) -> usize {
     let folder = scratch_file(folder);
-    // The folder exists only if an earlier run was cut.
+    // The folder exists if this test ran before.
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("folder");
     let data_folder = Some(folder.clone());
--- a/crates/entry/tests/daemon_process.rs
+++ b/crates/entry/tests/daemon_process.rs
@@ -1,4 +1,4 @@
-//! Guards against a binary that starts, checks or stops otherwise than the library.
+//! Guards against a binary that starts, checks its settings or stops differently from the library.
 
 mod support;
 
@@ -35,13 +35,13 @@
         .stderr(Stdio::piped())
         .spawn();
     let mut child = child.expect("binary starts");
-    let mut log = std::io::BufReader::new(child.stderr.take().expect("a log"));
+    let mut log = std::io::BufReader::new(child.stderr.take().expect("stderr is piped"));
     let address = tokio::task::spawn_blocking(move || {
         let lines = std::io::BufRead::lines(&mut log).map(|line| line.expect("text"));
         let line = lines
             .into_iter()
             .find(|line| line.contains("serves callers at"));
-        (line.expect("the binary says where it listens"), log)
+        (line.expect("the binary logs its address"), log)
     });
     let (line, mut log) = address.await.expect("log is read");
     let address = line.rsplit(' ').next().expect("an address");
--- a/crates/entry/tests/full_queue.rs
+++ b/crates/entry/tests/full_queue.rs
@@ -1,4 +1,4 @@
-//! Guards against calls that wait without a bound while the control thread is busy.
+//! Guards against calls that wait without limit while the control thread is blocked.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use knapweeddale_entry::{Clock, MonotonicClock};
 use support::{EntryUnderTest, KEY, bearer, completion_body};
 
-/// A clock that stops the control thread, which reads it before each tick.
+/// A clock that can block the control thread, which reads it before each tick.
 #[derive(Debug, Clone)]
 struct StoppableClock {
     clock: MonotonicClock,
--- a/crates/entry/tests/graceful_stop.rs
+++ b/crates/entry/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! Guards against calls that are cut when a VM stops.
+//! Guards against calls that are interrupted when a VM stops.
 
 mod support;
 
@@ -47,9 +47,13 @@
         (refused.status().as_u16(), &refused.headers()["kwd-ran"]),
         (503, &"not_run".parse().expect("value"))
     );
-    assert!(!stop.is_finished(), "the VM waits for the stream");
+    assert!(!stop.is_finished(), "the VM must wait for the stream");
     engine.handler().open_gate();
-    while let Some(chunk) = response.chunk().await.expect("the stream is not cut") {
+    while let Some(chunk) = response
+        .chunk()
+        .await
+        .expect("the stream is not interrupted")
+    {
         text.push_str(&String::from_utf8_lossy(&chunk));
     }
     assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
--- a/crates/entry/tests/key_hygiene.rs
+++ b/crates/entry/tests/key_hygiene.rs
@@ -1,4 +1,4 @@
-//! Guards against a caller's key in what upstreams receive, in logs and in metrics.
+//! Guards against a caller's key in requests to upstreams, in logs and in metrics.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use knapweeddale_entry::logs;
 use support::{EntryUnderTest, KEY, bearer, completion_body};
 
-/// A log that the test can read.
+/// A log writer whose output the test can read.
 #[derive(Clone, Default)]
 struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -29,7 +29,7 @@
     let log = LogBuffer::default();
     let writer = log.clone();
     let log_init = logs::init_with(LogFormat::Text, "trace", move || writer.clone());
-    log_init.expect("the only log");
+    log_init.expect("logging is not initialized yet");
     let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
     let cookie = format!("session={KEY}");
@@ -81,7 +81,7 @@
     let plain = String::from_utf8(entry.plain.handler().heads()).expect("text");
     assert!(
         plain.contains("x-kept: plain text"),
-        "other headers are passed on: {plain}"
+        "other headers are forwarded: {plain}"
     );
     assert_eq!(entry.plain.handler().total_executions(), 1);
     let EntryUnderTest { daemon, .. } = entry;
@@ -96,6 +96,6 @@
         ("log", log),
     ] {
         let line = text.lines().find(|line| line.contains(secret));
-        assert_eq!(line, None, "{place} holds the key");
+        assert_eq!(line, None, "{place} contains the key");
     }
 }
--- a/crates/entry/tests/model_orders.rs
+++ b/crates/entry/tests/model_orders.rs
@@ -1,4 +1,4 @@
-//! Guards against a model that the service file asks for and no engine loads.
+//! Guards against a model that a service file lists but no engine loads.
 
 mod support;
 
--- a/crates/entry/tests/silent_upstream.rs
+++ b/crates/entry/tests/silent_upstream.rs
@@ -1,4 +1,4 @@
-//! Guards against callers that wait for a connection which has gone silent.
+//! Guards against callers that wait for an upstream which has stopped sending.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use support::{EntryUnderTest, KEY, add_engine, bearer, completion_body, parse_events};
 
-/// Short limits; the fakes stay silent for ever, so that the length does not matter.
+/// Sets short timeouts. Their length does not matter, since the fakes stay silent forever.
 fn set_short_timeouts(settings: &mut Settings, _: &mut Document) {
     settings.first_token_ms = 100;
     settings.token_gap_ms = 100;
@@ -57,8 +57,8 @@
         engine.handler().plan(EngineFault::SilentAfter(2));
     }
     let headers = [("authorization", key.as_str()), ("x-request-id", "draft")];
-    // Each engine is silent for its first request only, so that the third
-    // attempt is the first one to get an answer.
+    // Each engine is silent only for its first request, so the third attempt is the first one to
+    // get a complete response.
     let response = entry
         .complete(&headers, &completion_body(&[("user", "oslo")], false))
         .await;
@@ -67,7 +67,7 @@
     let content = &answer["choices"][0]["message"]["content"];
     assert_eq!(
         content, "oslo-0 oslo-1 oslo-2 oslo-3 ",
-        "no part of another attempt is mixed in"
+        "the response contains no part of another attempt"
     );
     let runs = entry.engine.handler().executions("draft") + second.handler().executions("draft");
     assert_eq!(runs, 3);
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One VM with fakes of the platform, an engine and a plain service.
+//! Support: one VM with a fake platform, a fake engine and a fake plain service.
 
 #![allow(dead_code, reason = "each test file uses a part of the support")]
 
@@ -23,7 +23,7 @@
 pub const SMALL_BUDGET_KEY: &str = "kwd_small_0123456789abcdefghijABCDEFGHIJ05";
 pub const SECRET: &[u8] = b"a secret that all VMs of the fleet share";
 
-/// One VM with its surroundings.
+/// One VM with the fakes that it talks to.
 pub struct EntryUnderTest<C = MonotonicClock> {
     pub daemon: Daemon<C>,
     pub platform: Platform,
@@ -33,19 +33,19 @@
 }
 
 impl EntryUnderTest {
-    /// Starts everything and waits until the VM is ready.
+    /// Starts the VM and the fakes, and waits until the VM is ready.
     pub async fn start() -> Self {
         Self::start_with(|_, _| {}).await
     }
 
-    /// Starts with changed settings and files.
+    /// Like `start`; `change` adjusts the settings, the accounts and the services first.
     pub async fn start_with(change: impl FnOnce(&mut Settings, &mut Document)) -> Self {
         Self::start_with_clock(MonotonicClock::start(), change).await
     }
 }
 
 impl<C: Clock> EntryUnderTest<C> {
-    /// Starts with a clock and changed settings and files.
+    /// Like `start_with`, with a clock.
     pub async fn start_with_clock(
         clock: C,
         change: impl FnOnce(&mut Settings, &mut Document),
@@ -76,18 +76,18 @@
         }
     }
 
-    /// Returns the URL of a path.
+    /// Returns the URL of a path at the VM.
     pub fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.daemon.address())
     }
 
-    /// Sends a completion with these headers.
+    /// Sends a completion request.
     pub async fn complete(&self, headers: &[(&str, &str)], body: &Value) -> Response {
         self.post("/v1/chat/completions", headers, &body.to_string())
             .await
     }
 
-    /// Sends a body with these headers.
+    /// Sends a `POST` request.
     pub async fn post(&self, path: &str, headers: &[(&str, &str)], body: &str) -> Response {
         let mut request = self.client.post(self.url(path)).body(body.to_owned());
         for (name, value) in headers {
@@ -96,7 +96,7 @@
         request.send().await.expect("the VM answers")
     }
 
-    /// Returns a resource as text.
+    /// Sends a `GET` request and returns the body as text.
     pub async fn get(&self, path: &str) -> String {
         let response = self.client.get(self.url(path)).send().await;
         response
@@ -119,12 +119,12 @@
     }
 }
 
-/// Returns the header with a key.
+/// Returns the `authorization` header value for a key.
 pub fn bearer(key: &str) -> String {
     format!("Bearer {key}")
 }
 
-/// Adds a second engine to the service of the first.
+/// Adds an engine to the service of the first one.
 pub fn add_engine(document: &mut Document, engine: &FakeServer<FakeEngine>) {
     let chat = &mut document.services[0];
     let mut upstream = chat.upstreams[0].clone();
@@ -133,14 +133,14 @@
     chat.upstreams.push(upstream);
 }
 
-/// Waits until something outside the VM has happened.
+/// Waits until a condition holds.
 pub async fn wait_until(happened: impl Fn() -> bool) {
     while !happened() {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
 }
 
-/// Returns a body that asks for 4 tokens.
+/// Returns the body of a completion request for 4 tokens.
 pub fn completion_body(messages: &[(&str, &str)], stream: bool) -> Value {
     let messages: Vec<Value> = messages
         .iter()
@@ -149,7 +149,7 @@
     json!({"model": "small", "messages": messages, "max_tokens": 4, "stream": stream})
 }
 
-/// Returns the data of all events of a stream.
+/// Parses the data of all events of a stream except `[DONE]`.
 pub fn parse_events(text: &str) -> Vec<Value> {
     text.split("\n\n")
         .filter_map(|event| event.strip_prefix("data: "))
@@ -158,8 +158,8 @@
         .collect()
 }
 
-/// Formats a response as a session: status, own headers and body, with the
-/// values that change from run to run replaced.
+/// Formats a request and its response for a snapshot: status, content type, `kwd-ran` and body,
+/// with varying values replaced.
 pub async fn format_session(request: &str, response: Response) -> String {
     let status = response.status();
     let names = ["content-type", "kwd-ran"];
@@ -194,7 +194,7 @@
     format!("> {request}\n< {status}\n{headers}{retry}\n{body}\n")
 }
 
-/// Sends bytes over a new connection and returns the start of the response.
+/// Sends bytes over a new connection and returns the response as text.
 pub async fn send_raw(address: std::net::SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("the VM listens");
     let sent = stream.write_all(request.as_bytes()).await;
@@ -205,16 +205,16 @@
     String::from_utf8(response).expect("text")
 }
 
-/// Publishes a document over the one with this version.
+/// Publishes a document in place of the one with this version; returns the new version.
 pub async fn publish(platform: &Platform, document: &Document, version: u64) -> u64 {
     let api = HttpObjectApi::builder().base_url(&platform.url()).build();
     let api = api.expect("client of the platform");
     let bytes = document.to_bytes().expect("document fits");
     let written = api.put(CONFIG_KEY, bytes, version).await;
-    written.expect("platform takes the document")
+    written.expect("platform accepts the document")
 }
 
-/// Returns settings with ports that the system chooses.
+/// Returns settings with ports that the operating system chooses.
 pub fn settings(store: &str) -> Settings {
     let text = format!(
         "vm: vm-1\nfailure_domain: north\nlisten: 127.0.0.1:0\npeer_listen: 127.0.0.1:0\n\
@@ -223,7 +223,7 @@
     Settings::parse("vm.yaml", &text).expect("settings")
 }
 
-/// Returns the accounts: one without tight limits, one with a low rate, one with a small budget.
+/// Returns three accounts: one with high limits, one with a low rate, one with a small budget.
 pub fn accounts() -> Vec<AccountFile> {
     let account = |name: &str, rate: f64, burst: u64, tokens: u64, keys: Vec<KeyFile>| {
         let text = format!(
@@ -278,7 +278,7 @@
     }
 }
 
-/// Returns a file that tests may fill.
+/// Returns the path of a file or folder that a test may create.
 pub fn scratch_file(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
--- a/crates/entry/tests/two_vms.rs
+++ b/crates/entry/tests/two_vms.rs
@@ -1,4 +1,5 @@
-//! Guards against programs that work only through the VM that is their home.
+//! Guards against programs that work only through their home VM, and against a VM that cannot
+//! learn the configuration while the store is down.
 
 mod support;
 
@@ -8,7 +9,7 @@
 use serde_json::Value;
 use support::{EntryUnderTest, KEY, SECRET, bearer, completion_body, settings};
 
-/// Starts a second VM beside that of a entry and waits until both know each other.
+/// Starts a second VM next to the first and waits until both are members of the view.
 async fn start_second(entry: &EntryUnderTest) -> Daemon<MonotonicClock> {
     let mut settings = settings(&entry.platform.url());
     settings.vm = "vm-2".to_owned();
@@ -59,7 +60,7 @@
     assert_eq!(
         ready.expect("the VM answers").status(),
         503,
-        "it is no member yet"
+        "it is not a member yet"
     );
 }
 
@@ -69,7 +70,7 @@
     let second = start_second(&entry).await;
     let url = format!("http://{}/v1/chat/completions", second.address());
     let key = bearer(KEY);
-    // Homes are spread by hash, so that both VMs are home of some programs.
+    // Homes are assigned by hash, so each VM is the home of some programs.
     for number in 0..12 {
         let program = format!("tour-{number}");
         let request = format!("first-{number}");
@@ -100,7 +101,7 @@
         assert_eq!(
             again.text().await.expect("text"),
             first,
-            "the response is fetched"
+            "the response is fetched from the other VM"
         );
         assert_eq!(entry.engine.handler().executions(&request), 1);
         let answer: Value = serde_json::from_str(&first).expect("JSON");
--- a/crates/entry/tests/upstream_crash.rs
+++ b/crates/entry/tests/upstream_crash.rs
@@ -1,4 +1,4 @@
-//! Guards against lost or doubled calls when an upstream crashes.
+//! Guards against calls that are lost or run twice when an upstream crashes.
 
 mod support;
 
--- a/crates/entry/tests/whole_path.rs
+++ b/crates/entry/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Guards against a break in the path of a call between caller, VM and upstream.
+//! Guards against faults in the path of a call from caller through VM to upstream and back.
 
 mod support;
 
@@ -69,7 +69,7 @@
     assert!(last["kwd-continuation"].is_string() && last["kwd-permit"].is_string());
     let usage = events.iter().rev().find(|event| event["usage"].is_object());
     let cached = &usage.expect("usage")["usage"]["prompt_tokens_details"]["cached_tokens"];
-    assert_eq!(cached, 2, "the engine knows the program's prefix");
+    assert_eq!(cached, 2, "the engine has cached the prefix of the program");
     assert_eq!(entry.engine.handler().total_executions(), 2);
 }
 
@@ -106,7 +106,10 @@
     assert_eq!(again.text().await.expect("text"), paid);
     let other = entry.post("/services/booking/pay", &second, "70 EUR").await;
     let status = other.status();
-    assert_eq!(status, 409, "a kept response answers its own request only");
+    assert_eq!(
+        status, 409,
+        "a cached response is returned only for the same request"
+    );
     assert_eq!(entry.plain.handler().executions("deposit"), 1);
 }
 
