--- a/crates/report/src/bin/latency_report.rs
+++ b/crates/report/src/bin/latency_report.rs
@@ -27,7 +27,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 /// The key of the measured account; it is of no use elsewhere.
-const KEY: &str = "kwd_load_0123456789abcdefghijABCDEFGHIJ01";
+const CALLER_KEY: &str = "kwd_load_0123456789abcdefghijABCDEFGHIJ01";
 
 /// Measures the latency that an entry VM adds to a call.
 #[derive(Debug, Clone, Bpaf)]
@@ -57,22 +57,22 @@
     })
     .await?;
     let api = HttpObjectApi::builder().base_url(&platform.url()).build()?;
-    let document = document(&engine.address().to_string())?;
+    let document = build_document(&engine.address().to_string())?;
     api.put(CONFIG_KEY, document.to_bytes()?, 0).await?;
     let folder = std::env::temp_dir().join(format!("kwd-latency-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let listen = free_port()?;
+    let listen = free_address()?;
     let mut vm = start_vm(&options.entry, &folder, &platform.url(), &listen)?;
     wait_ready(&listen).await?;
     let direct = format!("http://{}/v1/chat/completions", engine.address());
-    let through = format!("http://{listen}/v1/chat/completions");
+    let via_entry = format!("http://{listen}/v1/chat/completions");
     let rates = match options.rate.as_slice() {
         [] => vec![50, 300, 1_000],
         rates => rates.to_vec(),
     };
     println!("calls/s  direct p50/p99 us  through p50/p99 us  added p50/p99 us  failed");
     for rate in rates {
-        let line = run(rate, options.seconds, &direct, &through).await?;
+        let line = measure_rate(rate, options.seconds, &direct, &via_entry).await?;
         println!("{line}");
     }
     vm.kill().await?;
@@ -81,11 +81,11 @@
 }
 
 /// Makes pairs of calls at a rate and returns a line of the table.
-async fn run(
+async fn measure_rate(
     rate: u64,
     seconds: u64,
     direct: &str,
-    through: &str,
+    via_entry: &str,
 ) -> Result<String, Box<dyn Error>> {
     let client = Client::builder().retry(reqwest::retry::never()).build()?;
     let histograms: [Latencies; 2] = [new_latencies()?, new_latencies()?];
@@ -97,13 +97,13 @@
     let warm_up = rate;
     for number in 0..warm_up + rate * seconds {
         ticks.tick().await;
-        for (url, latencies) in [direct, through].iter().zip(&histograms) {
+        for (url, latencies) in [direct, via_entry].iter().zip(&histograms) {
             let (client, url) = (client.clone(), (*url).to_owned());
             let (latencies, failed) = (Arc::clone(latencies), Arc::clone(&failed));
-            let counts = number >= warm_up;
+            let is_measured = number >= warm_up;
             calls.spawn(async move {
-                match call(&client, &url).await {
-                    Some(latency_us) if counts => {
+                match time_call(&client, &url).await {
+                    Some(latency_us) if is_measured => {
                         let mut latencies =
                             latencies.lock().unwrap_or_else(PoisonError::into_inner);
                         latencies.saturating_record(latency_us);
@@ -118,15 +118,15 @@
         while calls.try_join_next().is_some() {}
     }
     while calls.join_next().await.is_some() {}
-    let [direct, through] = histograms.map(|h| quantiles(&h));
+    let [direct, via_entry] = histograms.map(|h| quantiles(&h));
     Ok(format!(
         "{rate:7}  {:>8}/{:<8}  {:>9}/{:<8}  {:>7}/{:<8}  {}",
         direct.0,
         direct.1,
-        through.0,
-        through.1,
-        through.0 as i64 - direct.0 as i64,
-        through.1 as i64 - direct.1 as i64,
+        via_entry.0,
+        via_entry.1,
+        via_entry.0 as i64 - direct.0 as i64,
+        via_entry.1 as i64 - direct.1 as i64,
         failed.load(std::sync::atomic::Ordering::Relaxed)
     ))
 }
@@ -147,22 +147,22 @@
 }
 
 /// Makes one call and returns its latency; `None` if it failed.
-async fn call(client: &Client, url: &str) -> Option<u64> {
+async fn time_call(client: &Client, url: &str) -> Option<u64> {
     let body = json!({
         "model": "small",
         "max_tokens": 4,
         "messages": [{"role": "user", "content": "plan the rehearsals"}],
     });
     let started = Instant::now();
-    let request = client.post(url).bearer_auth(KEY).json(&body);
+    let request = client.post(url).bearer_auth(CALLER_KEY).json(&body);
     let response = request.send().await.ok()?.error_for_status().ok()?;
     response.bytes().await.ok()?;
     u64::try_from(started.elapsed().as_micros()).ok()
 }
 
 /// Returns an account without a practical limit and one engine.
-fn document(engine: &str) -> Result<Document, Box<dyn Error>> {
-    let key: CallerKey = KEY.parse()?;
+fn build_document(engine: &str) -> Result<Document, Box<dyn Error>> {
+    let key: CallerKey = CALLER_KEY.parse()?;
     let account = "account: load\nrate_calls_per_s: 100000\nburst_calls: 100000\n";
     let mut account = AccountFile::parse("load.account.yaml", account)?;
     account.keys.push(KeyFile {
@@ -181,7 +181,7 @@
 }
 
 /// Returns an address on loopback that was free a moment ago.
-fn free_port() -> std::io::Result<String> {
+fn free_address() -> std::io::Result<String> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     Ok(listener.local_addr()?.to_string())
 }
@@ -193,7 +193,7 @@
     let settings = format!(
         "vm: vm-1\nfailure_domain: north\nlisten: {listen}\npeer_listen: {}\n\
          store: {store}\nsecret_file: {}\nlog_filter: warn\n",
-        free_port()?,
+        free_address()?,
         secret.display()
     );
     let file = folder.join("vm.yaml");
--- a/crates/report/src/bin/membership_report.rs
+++ b/crates/report/src/bin/membership_report.rs
@@ -28,15 +28,15 @@
 }
 
 /// Sizes that are measured when none is given.
-const SIZES: [usize; 6] = [8, 16, 32, 64, 128, 700];
+const DEFAULT_FLEET_SIZES: [usize; 6] = [8, 16, 32, 64, 128, 700];
 
 /// Virtual time in which a fleet forms before it is measured.
-const SETTLE_MS: u64 = 30_000;
+const WARM_UP_MS: u64 = 30_000;
 
 fn main() {
     let mut options = options().run();
     if options.vms.is_empty() {
-        options.vms = SIZES.to_vec();
+        options.vms = DEFAULT_FLEET_SIZES.to_vec();
     }
     println!(
         "{:>5} {:>8} {:>10} {:>10} {:>10} {:>10} {:>9} {:>9} {:>8} {:>6} {:>7}",
@@ -53,27 +53,27 @@
         "leases"
     );
     for &vms in &options.vms {
-        measure(vms, &options);
+        measure_fleet(vms, &options);
     }
 }
 
 /// Measures one size of fleet and prints its row.
-fn measure(vms: usize, options: &Options) {
+fn measure_fleet(vms: usize, options: &Options) {
     let fleet = FleetConfig {
         revision: Revision(1),
         ..FleetConfig::default()
     };
     let mut mesh = Mesh::with_domains(vms, 3, fleet, options.seed);
-    mesh.run_ms(SETTLE_MS);
+    mesh.run_ms(WARM_UP_MS);
     mesh.store.is_down = options.outage;
     if options.outage {
-        mesh.run_ms(SETTLE_MS);
+        mesh.run_ms(WARM_UP_MS);
     }
     let before: Vec<Traffic> = (0..vms).map(|vm| mesh.traffic(vm)).collect();
     let requests = mesh.store.requests;
     let epoch = mesh.tables(0).view.epoch.0;
     for second in 0..options.seconds {
-        crash_next(&mut mesh, second, options.crash_every);
+        crash_periodically(&mut mesh, second, options.crash_every);
         mesh.run_ms(1_000);
     }
     let seconds = options.seconds as f64;
@@ -99,7 +99,7 @@
 }
 
 /// Crashes one VM each time the interval is over, and starts the one before again.
-fn crash_next(mesh: &mut Mesh, second: u64, every: u64) {
+fn crash_periodically(mesh: &mut Mesh, second: u64, every: u64) {
     if every == 0 || !second.is_multiple_of(every) {
         return;
     }
--- a/crates/report/src/bin/policy_report.rs
+++ b/crates/report/src/bin/policy_report.rs
@@ -31,8 +31,8 @@
 
 /// One run.
 struct Job {
-    load: usize,
-    variant: usize,
+    load_index: usize,
+    variant_index: usize,
     seed: u64,
 }
 
@@ -53,10 +53,10 @@
     println!("capacity: {capacity:.3} programs per second");
     let workloads: Vec<Vec<Workload>> = loads
         .iter()
-        .map(|load| workloads(&options, capacity * *load as f64 / 100.0))
+        .map(|load| generate_workloads(&options, capacity * *load as f64 / 100.0))
         .collect();
     let outcomes = run_all(&options, &variants, &workloads);
-    for (at, load) in loads.iter().enumerate() {
+    for (load_index, load) in loads.iter().enumerate() {
         println!("\nload {load}%");
         if !options.json {
             println!(
@@ -75,19 +75,21 @@
                 "limit"
             );
         }
-        for (number, variant) in variants.iter().enumerate() {
+        for (variant_index, variant) in variants.iter().enumerate() {
             let runs: Vec<(&Workload, &Outcome)> = outcomes
                 .iter()
-                .filter(|(job, _)| job.load == at && job.variant == number)
-                .map(|(job, outcome)| (&workloads[at][job.seed as usize], outcome))
+                .filter(|(job, _)| {
+                    job.load_index == load_index && job.variant_index == variant_index
+                })
+                .map(|(job, outcome)| (&workloads[load_index][job.seed as usize], outcome))
                 .collect();
-            print(&options, variant, &Measures::new(&runs));
+            print_row(&options, variant, &Measures::new(&runs));
         }
     }
 }
 
 /// Prints the figures of one policy.
-fn print(options: &Options, variant: &Variant, measures: &Measures) {
+fn print_row(options: &Options, variant: &Variant, measures: &Measures) {
     if options.json {
         let text = serde_json::to_string(measures).unwrap_or_default();
         println!("{}: {text}", variant.name);
@@ -111,7 +113,7 @@
 }
 
 /// Makes the programs of each seed at a rate of arrival.
-fn workloads(options: &Options, programs_per_s: f64) -> Vec<Workload> {
+fn generate_workloads(options: &Options, programs_per_s: f64) -> Vec<Workload> {
     let until_us = options.seconds * 1_000_000;
     (0..options.seeds)
         .map(|seed| Workload::new(seed + 1, programs_per_s, until_us / 6, until_us))
@@ -125,36 +127,36 @@
     workloads: &[Vec<Workload>],
 ) -> Vec<(Job, Outcome)> {
     let mut jobs = Vec::new();
-    for load in 0..workloads.len() {
-        for variant in 0..variants.len() {
+    for load_index in 0..workloads.len() {
+        for variant_index in 0..variants.len() {
             jobs.extend((0..options.seeds).map(|seed| Job {
-                load,
-                variant,
+                load_index,
+                variant_index,
                 seed,
             }));
         }
     }
     let next = AtomicUsize::new(0);
-    let done = Mutex::new(Vec::new());
+    let outcomes = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..options.threads {
             scope.spawn(|| {
                 while let Some(job) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let outcome = run(&Trial {
-                        variant: variants[job.variant],
-                        workload: &workloads[job.load][job.seed as usize],
+                        variant: variants[job.variant_index],
+                        workload: &workloads[job.load_index][job.seed as usize],
                         seed: job.seed,
                         drain_us: 1_800_000_000,
                     });
                     let job = Job { ..*job };
-                    if let Ok(mut done) = done.lock() {
-                        done.push((job, outcome));
+                    if let Ok(mut outcomes) = outcomes.lock() {
+                        outcomes.push((job, outcome));
                     }
                 }
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_default();
-    done.sort_by_key(|(job, _)| (job.load, job.variant, job.seed));
-    done
+    let mut outcomes = outcomes.into_inner().unwrap_or_default();
+    outcomes.sort_by_key(|(job, _)| (job.load_index, job.variant_index, job.seed));
+    outcomes
 }
--- a/crates/report/src/bin/rates_report.rs
+++ b/crates/report/src/bin/rates_report.rs
@@ -16,15 +16,15 @@
 const ROUND_TRIP_US: u64 = 2_300;
 
 /// Time from the death of an owner until another one may lend: suspicion and takeover wait.
-const OWNERLESS_US: u64 = 5_300_000;
+const OWNER_FAILOVER_US: u64 = 5_300_000;
 
 /// A bucket with calls that wait in line.
-struct Line {
+struct BucketQueue {
     bucket: Bucket,
     waiting: VecDeque<(u64, usize)>,
 }
 
-impl Line {
+impl BucketQueue {
     fn new(rate_mcalls_per_s: u64, burst_ncalls: u64) -> Self {
         Self {
             bucket: Bucket::full(rate_mcalls_per_s, burst_ncalls, 0),
@@ -61,7 +61,7 @@
 }
 
 /// Returns the calls of a trace.
-fn arrivals(trace: &Trace, vms: &BTreeMap<String, usize>) -> Vec<Arrival> {
+fn collect_arrivals(trace: &Trace, vms: &BTreeMap<String, usize>) -> Vec<Arrival> {
     let calls = trace.events.iter().filter_map(|(at_us, event)| {
         let TraceEvent::Arrived { vm, call } = event else {
             return None;
@@ -76,35 +76,36 @@
     calls.collect()
 }
 
-/// Serves the calls of each account from lines; `choose` returns the line and the delay.
+/// Serves the calls of each account from lines; `route` returns the line and the delay.
 fn replay(
     arrivals: &[Arrival],
     parts: u64,
-    choose: impl Fn(&Arrival) -> (usize, u64),
+    route: impl Fn(&Arrival) -> (usize, u64),
 ) -> BTreeMap<AccountName, Served> {
     let fleet = fleet();
     let mut admitted = vec![false; arrivals.len()];
     let mut result = BTreeMap::new();
     for account in &fleet.accounts {
         let burst_ncalls = account.burst_calls * NCALLS_PER_CALL;
-        let line = || Line::new(account.rate_mcalls_per_s / parts, burst_ncalls / parts);
-        let mut lines: Vec<_> = (0..parts).map(|_| line()).collect();
+        let new_queue =
+            || BucketQueue::new(account.rate_mcalls_per_s / parts, burst_ncalls / parts);
+        let mut queues: Vec<_> = (0..parts).map(|_| new_queue()).collect();
         let calls = arrivals.iter().enumerate();
         let calls: Vec<_> = calls
             .filter(|(_, call)| call.account == account.name)
             .collect();
         for (number, call) in &calls {
-            let (line, delay_us) = choose(call);
-            lines[line].advance(call.at_us, &mut admitted);
+            let (queue, delay_us) = route(call);
+            queues[queue].advance(call.at_us, &mut admitted);
             // A call that cannot be asked for in time is refused.
             if delay_us < WAIT_US {
-                lines[line]
+                queues[queue]
                     .waiting
                     .push_back((call.at_us + delay_us, *number));
             }
         }
-        for line in &mut lines {
-            line.advance(u64::MAX / 2, &mut admitted);
+        for queue in &mut queues {
+            queue.advance(u64::MAX / 2, &mut admitted);
         }
         let outcomes = calls
             .iter()
@@ -116,7 +117,7 @@
 }
 
 /// Prints one line of the table.
-fn row(name: &str, served: &BTreeMap<AccountName, Served>) {
+fn print_row(name: &str, served: &BTreeMap<AccountName, Served>) {
     let mut totals = Totals::default();
     totals.add_quietly(served);
     println!(
@@ -130,38 +131,42 @@
 }
 
 /// Runs the scenario, with the owner of the first account dying a third of the way if asked.
-fn compare(seed: u64, seconds: u64, dies: bool) {
+fn compare_schemes(seed: u64, seconds: u64, has_crash: bool) {
     let mut scenario = Scenario::new(seed);
     let vms = (0..VMS).map(|vm| (format!("vm-{vm}"), vm)).collect();
     scenario.drive_ms(seconds * 1_000 / 3);
     let owner = scenario.owner("aller");
-    let died_us = scenario.mesh.now_us();
+    let crashed_us = scenario.mesh.now_us();
     let owners: BTreeMap<_, _> = fleet()
         .accounts
         .iter()
         .map(|account| (account.name.clone(), scenario.owner(account.name.as_str())))
         .collect();
-    if dies {
+    if has_crash {
         scenario.mesh.crash(owner);
     }
     scenario.drive_ms(seconds * 1_000 * 2 / 3);
-    let arrivals = arrivals(&scenario.mesh.trace, &vms);
+    let arrivals = collect_arrivals(&scenario.mesh.trace, &vms);
     let shares = scenario.finish();
     println!();
-    let title = if dies { "one VM lost" } else { "no faults" };
+    let title = if has_crash {
+        "one VM lost"
+    } else {
+        "no faults"
+    };
     println!("seed {seed}, {seconds} s, {title}");
     println!(
         "{:<28} {:>9} {:>9} {:>9} {:>10} {:>8}",
         "", "in rate", "refused", "over rate", "lost", "worst"
     );
-    row("shares", &shares);
+    print_row("shares", &shares);
     let split = replay(&arrivals, VMS as u64, |call| (call.vm, 0));
-    row("static 1/N split", &split);
-    let central = replay(&arrivals, 1, |call| {
-        let ownerless_until_us = died_us + OWNERLESS_US;
-        let is_ownerless = dies
+    print_row("static 1/N split", &split);
+    let single_owner = replay(&arrivals, 1, |call| {
+        let ownerless_until_us = crashed_us + OWNER_FAILOVER_US;
+        let is_ownerless = has_crash
             && owners.get(&call.account) == Some(&owner)
-            && (died_us..ownerless_until_us).contains(&call.at_us);
+            && (crashed_us..ownerless_until_us).contains(&call.at_us);
         let wait_us = if is_ownerless {
             ownerless_until_us - call.at_us
         } else {
@@ -169,7 +174,7 @@
         };
         (0, wait_us + ROUND_TRIP_US)
     });
-    row("one owner, every call asks", &central);
+    print_row("one owner, every call asks", &single_owner);
 }
 
 fn main() {
@@ -179,6 +184,6 @@
         text.and_then(|text| text.parse().ok()).unwrap_or(default)
     };
     let (seed, seconds) = (number(1), number(60));
-    compare(seed, seconds, false);
-    compare(seed, seconds, true);
+    compare_schemes(seed, seconds, false);
+    compare_schemes(seed, seconds, true);
 }
--- a/crates/report/src/policy/measure.rs
+++ b/crates/report/src/policy/measure.rs
@@ -1,7 +1,7 @@
 //! What is measured in a run.
 
 use super::program::Workload;
-use super::run::{ACCOUNTS, ENGINES, Outcome, engine_model, work};
+use super::run::{ACCOUNTS, ENGINES, Outcome, engine_model, engine_work_us};
 
 /// The figures of one policy at one load, over all seeds.
 #[derive(Debug, Clone, Default, serde::Serialize)]
@@ -73,9 +73,9 @@
 /// that was delivered in total if demand is higher (maximum-minimum fairness).
 /// Its demand is the work that an idle fleet would have ended in the same time.
 pub fn worst_share(workload: &Workload, delivered: &[f64]) -> f64 {
-    let demand = demand(workload);
+    let demand = account_demand(workload);
     let total: f64 = delivered.iter().sum();
-    let level = fair_level(&demand, total);
+    let level = max_min_level(&demand, total);
     (0..ACCOUNTS)
         .map(|account| (delivered[account] / demand[account].min(level)).min(1.0))
         .fold(f64::INFINITY, f64::min)
@@ -91,10 +91,10 @@
     let workload = Workload::new(0, PROGRAMS, 0, 1_000_000);
     let mut total_us = 0.0;
     for (_, plan) in &workload.arrivals {
-        let (_, calls) = plan.ideal(&model);
-        let works = calls
-            .into_iter()
-            .map(|(_, new_tokens, answer_tokens)| work(&model, new_tokens, answer_tokens));
+        let (_, calls) = plan.ideal_schedule(&model);
+        let works = calls.into_iter().map(|(_, new_tokens, answer_tokens)| {
+            engine_work_us(&model, new_tokens, answer_tokens)
+        });
         total_us += works.sum::<f64>();
     }
     let program_us = total_us / workload.arrivals.len() as f64;
@@ -102,15 +102,15 @@
 }
 
 /// Returns the work that an idle fleet would have ended in the measured time, by account.
-fn demand(workload: &Workload) -> Vec<f64> {
+fn account_demand(workload: &Workload) -> Vec<f64> {
     let model = engine_model();
     let mut demand = vec![0.0; ACCOUNTS];
     for (arrived_us, plan) in &workload.arrivals {
-        let (_, calls) = plan.ideal(&model);
+        let (_, calls) = plan.ideal_schedule(&model);
         for (after_us, new_tokens, answer_tokens) in calls {
             let at_us = arrived_us + after_us;
             if (workload.from_us..workload.until_us).contains(&at_us) {
-                demand[plan.account] += work(&model, new_tokens, answer_tokens);
+                demand[plan.account] += engine_work_us(&model, new_tokens, answer_tokens);
             }
         }
     }
@@ -118,7 +118,7 @@
 }
 
 /// Returns the level at which demands, cut at it, add up to a total.
-fn fair_level(demand: &[f64], total: f64) -> f64 {
+fn max_min_level(demand: &[f64], total: f64) -> f64 {
     let mut sorted = demand.to_vec();
     sorted.sort_by(f64::total_cmp);
     let mut left = total;
--- a/crates/report/src/policy/program.rs
+++ b/crates/report/src/policy/program.rs
@@ -69,7 +69,7 @@
     /// Makes a program with 5 to 130 turns.
     fn new(random: &mut Random) -> Self {
         let account = pick_account(random);
-        let turns = pareto(random, 5.0, 130.0, TURNS_SHAPE);
+        let turns = sample_pareto(random, 5.0, 130.0, TURNS_SHAPE);
         Self::with_turns(random, account, turns, 2_000, true)
     }
 
@@ -99,7 +99,7 @@
             TurnPlan {
                 new_tokens: if number == 0 { start_tokens } else { 0 } + added.min(4_000),
                 answer_tokens: (20 + random.exponential(130.0) as u64).min(900),
-                pause_us: pause_us(random),
+                pause_us: sample_pause_us(random),
                 children,
             }
         };
@@ -111,7 +111,7 @@
 
     /// Returns the calls with the times at which an idle fleet would end them,
     /// counted from the arrival, and their tokens of new prompt and response.
-    pub fn ideal(&self, model: &BatchModel) -> (u64, Vec<(u64, u64, u64)>) {
+    pub fn ideal_schedule(&self, model: &BatchModel) -> (u64, Vec<(u64, u64, u64)>) {
         let mut at_us = 0;
         let mut calls = Vec::new();
         for turn in &self.turns {
@@ -121,7 +121,7 @@
             calls.push((at_us, turn.new_tokens, turn.answer_tokens));
             let mut joined_us = at_us;
             for child in &turn.children {
-                let (child_us, child_calls) = child.ideal(model);
+                let (child_us, child_calls) = child.ideal_schedule(model);
                 joined_us = joined_us.max(at_us + child_us);
                 calls.extend(child_calls.into_iter().map(|(us, a, b)| (at_us + us, a, b)));
             }
@@ -144,7 +144,7 @@
 }
 
 /// Returns a number from a bounded Pareto distribution.
-fn pareto(random: &mut Random, low: f64, high: f64, shape: f64) -> u64 {
+fn sample_pareto(random: &mut Random, low: f64, high: f64, shape: f64) -> u64 {
     let unit = random.below(1_000_000) as f64 / 1e6;
     let (low_power, high_power) = (low.powf(shape), high.powf(shape));
     let power = (high_power - unit * (high_power - low_power)) / (high_power * low_power);
@@ -152,7 +152,7 @@
 }
 
 /// Returns the pause for a tool: mostly short, some much longer.
-fn pause_us(random: &mut Random) -> u64 {
+fn sample_pause_us(random: &mut Random) -> u64 {
     let mean_us = if random.per_mille(50) { 20e6 } else { 1e6 };
     20_000 + random.exponential(mean_us).min(120e6) as u64
 }
--- a/crates/report/src/policy/run.rs
+++ b/crates/report/src/policy/run.rs
@@ -24,7 +24,7 @@
 const STEP_MS: u64 = 10;
 
 /// Time after a refusal until the caller sends the call again.
-const RESEND_US: u64 = 2_000_000;
+const RETRY_DELAY_US: u64 = 2_000_000;
 
 /// Longest response that callers allow; the scheduler does not know the real length.
 const MAX_TOKENS: u64 = 1_024;
@@ -84,8 +84,8 @@
     parent: Option<usize>,
     turn: usize,
     context_tokens: u64,
-    waits_for: usize,
-    children: usize,
+    running_children: usize,
+    spawned_children: usize,
     continuation: Option<Continuation>,
 }
 
@@ -93,10 +93,10 @@
 struct Driver<'a> {
     mesh: Mesh,
     tasks: Vec<Task<'a>>,
-    starts: BinaryHeap<Reverse<(u64, usize)>>,
+    pending_starts: BinaryHeap<Reverse<(u64, usize)>>,
     calls: BTreeMap<CallId, (usize, u64)>,
     roots: Vec<(u64, Option<u64>)>,
-    contents: u64,
+    sent_calls: u64,
     model: BatchModel,
     outcome: Outcome,
     until_us: u64,
@@ -104,7 +104,7 @@
 }
 
 /// Returns the work of a call in microseconds of an engine at its knee.
-pub(super) fn work(model: &BatchModel, new_tokens: u64, answer_tokens: u64) -> f64 {
+pub(super) fn engine_work_us(model: &BatchModel, new_tokens: u64, answer_tokens: u64) -> f64 {
     let knee = model.knee_calls;
     let token_us = model.step_us(knee) / knee as f64;
     new_tokens as f64 * model.prefill_us_per_token + answer_tokens as f64 * token_us
@@ -119,7 +119,7 @@
             .vm(vm)
             .incarnation(incarnation)
             .preset(variant.preset)
-            .policy(variant.parts)
+            .policy(variant.features)
             .build()
     });
     mesh.use_batches(engine_model());
@@ -128,10 +128,10 @@
     let mut driver = Driver {
         mesh,
         tasks: Vec::new(),
-        starts: BinaryHeap::new(),
+        pending_starts: BinaryHeap::new(),
         calls: BTreeMap::new(),
         roots: Vec::new(),
-        contents: 0,
+        sent_calls: 0,
         model: engine_model(),
         outcome: Outcome {
             delivered: vec![0.0; ACCOUNTS],
@@ -141,17 +141,25 @@
         from_us: start_us + trial.workload.from_us,
     };
     for (number, (at_us, plan)) in trial.workload.arrivals.iter().enumerate() {
-        let task = driver.add(plan, format!("p{number}"), number, None);
-        driver.starts.push(Reverse((start_us + at_us, task)));
+        let task = driver.add_task(plan, format!("p{number}"), number, None);
+        driver
+            .pending_starts
+            .push(Reverse((start_us + at_us, task)));
         driver.roots.push((start_us + at_us, None));
     }
     driver.run(driver.until_us + trial.drain_us);
-    driver.finish(trial.workload, start_us)
+    driver.into_outcome(trial.workload, start_us)
 }
 
 impl<'a> Driver<'a> {
     /// Adds a program or sub-agent.
-    fn add(&mut self, plan: &'a Plan, name: String, root: usize, parent: Option<usize>) -> usize {
+    fn add_task(
+        &mut self,
+        plan: &'a Plan,
+        name: String,
+        root: usize,
+        parent: Option<usize>,
+    ) -> usize {
         self.tasks.push(Task {
             plan,
             name,
@@ -159,8 +167,8 @@
             parent,
             turn: 0,
             context_tokens: 0,
-            waits_for: 0,
-            children: 0,
+            running_children: 0,
+            spawned_children: 0,
             continuation: None,
         });
         self.tasks.len() - 1
@@ -171,30 +179,30 @@
         let mut open = self.roots.len();
         while open > 0 && self.mesh.now_us() < end_us {
             let until_us = self.mesh.now_us() + STEP_MS * 1_000;
-            while let Some(Reverse((at_us, task))) = self.starts.peek().copied()
+            while let Some(Reverse((at_us, task))) = self.pending_starts.peek().copied()
                 && at_us <= until_us
             {
-                self.starts.pop();
+                self.pending_starts.pop();
                 self.mesh.run_until(at_us.max(self.mesh.now_us()));
-                self.send(task);
+                self.send_call(task);
             }
             self.mesh.run_until(until_us);
             let events = std::mem::take(&mut self.mesh.trace.events);
             for (at_us, event) in events {
-                open -= self.handle(at_us, event);
+                open -= self.handle_event(at_us, event);
             }
         }
     }
 
     /// Sends the next call of a task.
-    fn send(&mut self, number: usize) {
-        self.contents += 1;
+    fn send_call(&mut self, number: usize) {
+        self.sent_calls += 1;
         let task = &self.tasks[number];
         let turn = &task.plan.turns[task.turn];
         let prompt_tokens = task.context_tokens + turn.new_tokens;
         let mut call = engine_call(task.plan.account, 0, prompt_tokens, MAX_TOKENS);
         let mut digest = [0; 16];
-        digest[..8].copy_from_slice(&self.contents.to_le_bytes());
+        digest[..8].copy_from_slice(&self.sent_calls.to_le_bytes());
         digest[8..].copy_from_slice(&turn.answer_tokens.to_le_bytes());
         call.digest = ContentDigest(digest);
         call.program = Some(ProgramTurn {
@@ -207,10 +215,10 @@
     }
 
     /// Handles an event; returns the number of programs that ended.
-    fn handle(&mut self, at_us: u64, event: TraceEvent) -> usize {
+    fn handle_event(&mut self, at_us: u64, event: TraceEvent) -> usize {
         match event {
             TraceEvent::Charged(charge) => {
-                self.charge(at_us, &charge);
+                self.record_charge(at_us, &charge);
                 0
             }
             TraceEvent::Answered(answered) => {
@@ -218,12 +226,13 @@
                     return 0;
                 };
                 self.tasks[task].continuation = answered.continuation.clone();
-                self.answered(at_us, task)
+                self.handle_response(at_us, task)
             }
             TraceEvent::Refused(refusal) => {
                 if let Some((task, _)) = self.calls.remove(&refusal.call) {
                     self.outcome.refused_calls += 1;
-                    self.starts.push(Reverse((at_us + RESEND_US, task)));
+                    self.pending_starts
+                        .push(Reverse((at_us + RETRY_DELAY_US, task)));
                 }
                 0
             }
@@ -232,7 +241,7 @@
     }
 
     /// Counts the tokens of a call that ended.
-    fn charge(&mut self, at_us: u64, charge: &Charge) {
+    fn record_charge(&mut self, at_us: u64, charge: &Charge) {
         let Some(&(number, known_tokens)) = self.calls.get(&charge.attempt.call) else {
             return;
         };
@@ -240,7 +249,7 @@
         let turn = &task.plan.turns[task.turn];
         self.outcome.calls += 1;
         if (self.from_us..self.until_us).contains(&at_us) {
-            let work = work(&self.model, turn.new_tokens, turn.answer_tokens);
+            let work = engine_work_us(&self.model, turn.new_tokens, turn.answer_tokens);
             self.outcome.delivered[task.plan.account] += work;
             self.outcome.measured_calls += 1;
         }
@@ -248,33 +257,34 @@
     }
 
     /// Moves a task on after a response.
-    fn answered(&mut self, at_us: u64, number: usize) -> usize {
+    fn handle_response(&mut self, at_us: u64, number: usize) -> usize {
         let task = &mut self.tasks[number];
         let plan: &'a Plan = task.plan;
         let turn = &plan.turns[task.turn];
         task.context_tokens += turn.new_tokens + turn.answer_tokens;
         if !turn.children.is_empty() {
-            task.waits_for = turn.children.len();
+            task.running_children = turn.children.len();
             for child in &turn.children {
                 let task = &mut self.tasks[number];
-                task.children += 1;
-                let name = format!("{}/c{}", task.name, task.children);
+                task.spawned_children += 1;
+                let name = format!("{}/c{}", task.name, task.spawned_children);
                 let root = task.root;
-                let child = self.add(child, name, root, Some(number));
-                self.starts.push(Reverse((at_us, child)));
+                let child = self.add_task(child, name, root, Some(number));
+                self.pending_starts.push(Reverse((at_us, child)));
             }
             return 0;
         }
-        self.next_turn(at_us, number)
+        self.finish_turn(at_us, number)
     }
 
     /// Starts the next turn of a task or ends it.
-    fn next_turn(&mut self, at_us: u64, number: usize) -> usize {
+    fn finish_turn(&mut self, at_us: u64, number: usize) -> usize {
         let task = &mut self.tasks[number];
         let pause_us = task.plan.turns[task.turn].pause_us;
         task.turn += 1;
         if task.turn < task.plan.turns.len() {
-            self.starts.push(Reverse((at_us + pause_us, number)));
+            self.pending_starts
+                .push(Reverse((at_us + pause_us, number)));
             return 0;
         }
         let Some(parent) = task.parent else {
@@ -283,15 +293,15 @@
         };
         let row = &mut self.tasks[parent];
         row.context_tokens += RESULT_TOKENS;
-        row.waits_for -= 1;
-        if row.waits_for == 0 {
-            return self.next_turn(at_us, parent);
+        row.running_children -= 1;
+        if row.running_children == 0 {
+            return self.finish_turn(at_us, parent);
         }
         0
     }
 
     /// Sums the run up.
-    fn finish(mut self, workload: &Workload, start_us: u64) -> Outcome {
+    fn into_outcome(mut self, workload: &Workload, start_us: u64) -> Outcome {
         let now_us = self.mesh.now_us();
         for (arrived_us, ended_us) in &self.roots {
             if *arrived_us < start_us + workload.from_us {
--- a/crates/report/src/policy/variant.rs
+++ b/crates/report/src/policy/variant.rs
@@ -10,11 +10,11 @@
     /// Its preset.
     pub preset: PolicyPreset,
     /// Its parts.
-    pub parts: PolicyFeatures,
+    pub features: PolicyFeatures,
 }
 
 /// First come first served without any part of the policy.
-const fn plain(upstream_choice: UpstreamChoice) -> PolicyFeatures {
+const fn fcfs(upstream_choice: UpstreamChoice) -> PolicyFeatures {
     PolicyFeatures {
         fair_sharing: false,
         least_attained: false,
@@ -34,36 +34,36 @@
 impl Variant {
     /// All policies, the one that the others are compared with second.
     pub const ALL: &[Self] = &[
-        Self::fair("fcfs, round robin", plain(UpstreamChoice::RoundRobin)),
-        Self::fair("fcfs, least loaded", plain(UpstreamChoice::LeastLoaded)),
-        Self::fair("full, fair_share", FULL),
+        Self::with_fair_share("fcfs, round robin", fcfs(UpstreamChoice::RoundRobin)),
+        Self::with_fair_share("fcfs, least loaded", fcfs(UpstreamChoice::LeastLoaded)),
+        Self::with_fair_share("full, fair_share", FULL),
         Self {
             name: "full, latency",
             preset: PolicyPreset::Latency,
-            parts: FULL,
+            features: FULL,
         },
-        Self::fair(
+        Self::with_fair_share(
             "full without affinity",
             PolicyFeatures {
                 upstream_choice: UpstreamChoice::LeastLoaded,
                 ..FULL
             },
         ),
-        Self::fair(
+        Self::with_fair_share(
             "full without least attained",
             PolicyFeatures {
                 least_attained: false,
                 ..FULL
             },
         ),
-        Self::fair(
+        Self::with_fair_share(
             "full without fair sharing",
             PolicyFeatures {
                 fair_sharing: false,
                 ..FULL
             },
         ),
-        Self::fair(
+        Self::with_fair_share(
             "full without learned limit",
             PolicyFeatures {
                 learned_limit: false,
@@ -76,11 +76,11 @@
     pub const BASELINE: &Self = &Self::ALL[1];
 
     /// Makes a policy with the preset `fair_share`.
-    const fn fair(name: &'static str, parts: PolicyFeatures) -> Self {
+    const fn with_fair_share(name: &'static str, features: PolicyFeatures) -> Self {
         Self {
             name,
             preset: PolicyPreset::FairShare,
-            parts,
+            features,
         }
     }
 }
