--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -25,8 +25,8 @@
     /// Maximum size of a response body; cached responses are the largest.
     #[builder(default = 2 * 1024 * 1024)]
     pub max_response_bytes: u32,
-    /// Capacity of the queue to one peer; a full queue takes one or two batches at a round trip
-    /// of 1 ms.
+    /// Capacity of the queue to one peer. A full queue is sent in one or two batches, each in
+    /// a round trip of about 1 ms.
     #[builder(default = 1_024)]
     pub queue_len: usize,
     /// Timeout of a request to a peer, also for its connection attempt.
--- a/crates/peer/tests/fleet_secret.rs
+++ b/crates/peer/tests/fleet_secret.rs
@@ -1,4 +1,4 @@
-//! Guards against accepting requests that lack the fleet's secret.
+//! Guards against accepting requests with a wrong, shortened or empty secret.
 
 mod support;
 
--- a/crates/store/src/api/mod.rs
+++ b/crates/store/src/api/mod.rs
@@ -97,9 +97,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Unavailable`] if there is no response, also if
-    /// none arrives by the end of the wait: a watch without a response must not look like an
-    /// unchanged object.
+    /// Returns [`StoreError::Unavailable`] if there is no response, not even
+    /// at the end of the wait: a watch without a response must not look like an unchanged object.
     fn watch(
         &self,
         key: &str,
