--- a/crates/core/src/output/decision.rs
+++ b/crates/core/src/output/decision.rs
@@ -117,7 +117,7 @@
         reason: CloseReason,
     },
     /// The home started to release a program's memory on an engine.
-    #[display("homes: releasing memory of {program} generation {generation} at {upstream}")]
+    #[display("homes: release memory of {program} generation {generation} at {upstream}")]
     MemoryReleased {
         /// The program that used the memory.
         program: ProgramKey,
