--- a/crates/entry/src/bin/knapweeddale-entry.rs
+++ b/crates/entry/src/bin/knapweeddale-entry.rs
@@ -46,11 +46,11 @@
     let api = HttpObjectApi::builder().base_url(&settings.store).build()?;
     let daemon = Daemon::start(settings, &secret, api, MonotonicClock::start()).await?;
     wait_for_signal(&mut terminate, &mut interrupt).await;
-    let cut = daemon.unfinished_calls();
+    let unfinished = daemon.unfinished_calls();
     tokio::select! {
         () = daemon.stop() => Ok(ExitCode::SUCCESS),
         () = wait_for_signal(&mut terminate, &mut interrupt) => {
-            cut.log("a second signal");
+            unfinished.log("a second signal");
             Ok(ExitCode::FAILURE)
         }
     }
--- a/crates/entry/src/call/reply.rs
+++ b/crates/entry/src/call/reply.rs
@@ -9,7 +9,7 @@
 /// The content type of server-sent events.
 pub(crate) const EVENT_STREAM: &str = "text/event-stream";
 
-/// The signed values that the caller carries to the next turn.
+/// The signed values that the caller sends with the next turn.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct SignedTokens {
     /// The signed state of the program; `None` for a call outside a program.
--- a/crates/entry/src/call/response_cache.rs
+++ b/crates/entry/src/call/response_cache.rs
@@ -1,4 +1,4 @@
-//! Cache of responses for calls that callers send again.
+//! Cache of responses for calls that callers repeat.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -26,6 +26,7 @@
     responses: HashMap<CallId, (ContentDigest, Reply)>,
     /// Expiry times with their calls, earliest first.
     expiry: VecDeque<(u64, CallId)>,
+    /// Total size of the bodies.
     bytes: usize,
 }
 
@@ -85,11 +86,11 @@
 }
 
 impl From<CachedResponse> for Reply {
-    fn from(answer: CachedResponse) -> Self {
+    fn from(response: CachedResponse) -> Self {
         Self {
-            status: answer.status,
-            headers: vec![("content-type".to_owned(), answer.content_type)],
-            body: Bytes::from(answer.body),
+            status: response.status,
+            headers: vec![("content-type".to_owned(), response.content_type)],
+            body: Bytes::from(response.body),
         }
     }
 }
--- a/crates/entry/src/call/task.rs
+++ b/crates/entry/src/call/task.rs
@@ -115,15 +115,12 @@
         let mut next = self.next_output().await;
         loop {
             next = match next {
-                Some(CallOutput::Dispatch(dispatch)) => match self.handle_dispatch(&dispatch).await
-                {
+                Some(CallOutput::Dispatch(dispatch)) => match self.execute(&dispatch).await {
                     Some(output) => output,
                     None => self.next_output().await,
                 },
                 Some(CallOutput::Answered(answered)) => return self.send_response(*answered).await,
-                Some(CallOutput::Refused(refusal)) => {
-                    return self.send_refusal(&refusal, None).await;
-                }
+                Some(CallOutput::Refused(refusal)) => return self.refuse(&refusal, None).await,
                 Some(CallOutput::Replay {
                     peer,
                     original,
@@ -162,7 +159,7 @@
 /// # Attempts
 impl<C: Clock> CallTask<C> {
     /// Runs an attempt and reports its result; returns the output that interrupted it, if any.
-    async fn handle_dispatch(&mut self, dispatch: &Dispatch) -> Option<Option<CallOutput>> {
+    async fn execute(&mut self, dispatch: &Dispatch) -> Option<Option<CallOutput>> {
         let attempt = dispatch.attempt;
         self.progress = Progress {
             forwarded: self.progress.forwarded,
@@ -215,9 +212,7 @@
 ) -> AttemptStop {
     loop {
         match outputs.recv().await {
-            Some(CallOutput::Cancel(attempt)) if attempt == running => {
-                return AttemptStop::Cancelled;
-            }
+            Some(CallOutput::Cancel(id)) if id == running => return AttemptStop::Cancelled,
             Some(CallOutput::Cancel(_)) => {}
             output => return AttemptStop::Output(output),
         }
@@ -277,7 +272,7 @@
     }
 
     /// Sends a refusal to the caller; `detail` replaces the general message.
-    async fn send_refusal(self, refusal: &Refusal, detail: Option<&str>) {
+    async fn refuse(self, refusal: &Refusal, detail: Option<&str>) {
         if !self.progress.forwarded {
             let reply = Reply::refused(refusal, detail);
             return self.send_part(ReplyPart::Whole(reply)).await;
@@ -298,7 +293,7 @@
                 let options = &self.shared.peer_options;
                 let fetched = Peers::fetch_response(options, &address, original, digest).await;
                 match fetched {
-                    Ok(answer) => answer.map(Reply::from),
+                    Ok(response) => response.map(Reply::from),
                     Err(error) => {
                         tracing::warn!(
                             "homes: cannot fetch the response of call {original} from {address}, {error}"
@@ -317,7 +312,7 @@
             };
             let detail =
                 "the turn ran before; its response is no longer kept, or the content differs";
-            return self.send_refusal(&refusal, Some(detail)).await;
+            return self.refuse(&refusal, Some(detail)).await;
         };
         let mut reply = reply;
         if reply.header("content-type") == Some(EVENT_STREAM) {
@@ -342,7 +337,7 @@
             ran,
             retry_after_ms: None,
         };
-        self.send_refusal(&refusal, Some("the VM stopped while the call ran"))
+        self.refuse(&refusal, Some("the VM stopped while the call ran"))
             .await;
     }
 
--- a/crates/entry/tests/bad_input.rs
+++ b/crates/entry/tests/bad_input.rs
@@ -200,13 +200,13 @@
         .await;
     let continuation = first.headers()["kwd-continuation"].to_str().expect("text");
     assert_completion_session(&entry, "turn_no_continuation", &turn("2")).await;
-    let carry = ("kwd-continuation", continuation);
+    let own = ("kwd-continuation", continuation);
     let [a, b, c] = turn("2");
-    assert_completion_session(&entry, "turn_other_history", &[a, b, c, carry]).await;
-    let other = [a, ("kwd-program", "trip"), c, carry];
+    assert_completion_session(&entry, "turn_other_history", &[a, b, c, own]).await;
+    let other = [a, ("kwd-program", "trip"), c, own];
     assert_completion_session(&entry, "turn_other_program", &other).await;
     let slow = bearer(LOW_RATE_KEY);
-    let foreign = [("authorization", slow.as_str()), b, c, carry];
+    let foreign = [("authorization", slow.as_str()), b, c, own];
     assert_completion_session(&entry, "turn_other_account", &foreign).await;
     let body = completion_body(&[("user", "bergen")], false).to_string();
     assert_session(&entry, "turn_duplicate", COMPLETIONS, &turn("1"), &body).await;
--- a/crates/entry/tests/two_vms.rs
+++ b/crates/entry/tests/two_vms.rs
@@ -112,9 +112,9 @@
             &[("user", "oslo"), ("assistant", answer), ("user", "bergen")],
             false,
         );
-        let mut carried = headers("2");
-        carried.push(("kwd-continuation", continuation));
-        let next = send(carried, &body).await.expect("the VM answers");
+        let mut second_headers = headers("2");
+        second_headers.push(("kwd-continuation", continuation));
+        let next = send(second_headers, &body).await.expect("the VM answers");
         assert_eq!(next.status(), 200, "{program}");
     }
 }
