--- a/crates/report/src/bin/latency_report.rs
+++ b/crates/report/src/bin/latency_report.rs
@@ -1,7 +1,7 @@
 //! Measures the latency that an entry VM adds to a call.
 //!
-//! A fake engine is called directly and through an entry VM that runs as a
-//! process of its own, in pairs in the same run, at several rates:
+//! Each run sends pairs of calls to a fake engine at a fixed rate: one directly and
+//! one through an entry VM, which runs as a separate process. Usage:
 //!
 //! `cargo build --release -p knapweeddale_entry && cargo run --release -p
 //! knapweeddale_report --bin latency_report -- --entry
@@ -26,25 +26,25 @@
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-/// The key of the measured account; it is of no use elsewhere.
+/// Key of the account that makes the calls; only the configuration of this report accepts it.
 const CALLER_KEY: &str = "kwd_load_0123456789abcdefghijABCDEFGHIJ01";
 
 /// Measures the latency that an entry VM adds to a call.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// The binary of the entry daemon
+    /// Path of the entry daemon's binary
     #[bpaf(long, argument("FILE"))]
     entry: PathBuf,
-    /// Length of each run
+    /// Duration of each run, after one second of warm-up
     #[bpaf(long, argument("SECONDS"), fallback(10))]
     seconds: u64,
-    /// Calls a second; may be repeated
+    /// Calls per second; may be repeated; 50, 300 and 1000 if absent
     #[bpaf(long, argument("RATE"))]
     rate: Vec<u64>,
 }
 
-/// Latencies of one way to call, in microseconds.
+/// Latencies over one path (direct or through the entry VM), in microseconds.
 type Latencies = Arc<Mutex<Histogram<u64>>>;
 
 #[tokio::main]
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// Makes pairs of calls at a rate and returns a line of the table.
+/// Sends pairs of calls at a rate and returns a row of the table.
 async fn measure_rate(
     rate: u64,
     seconds: u64,
@@ -93,7 +93,7 @@
     let mut ticks = interval(Duration::from_micros(1_000_000 / rate));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
     let mut calls = JoinSet::new();
-    // The first second warms connections up and does not count.
+    // The first second opens the connections and is not measured.
     let warm_up = rate;
     for number in 0..warm_up + rate * seconds {
         ticks.tick().await;
@@ -137,7 +137,7 @@
     )?)))
 }
 
-/// Returns the median and the 99th percentile.
+/// Returns the median and the 99th percentile, in microseconds.
 fn quantiles(latencies: &Latencies) -> (u64, u64) {
     let latencies = latencies.lock().unwrap_or_else(PoisonError::into_inner);
     (
@@ -146,7 +146,7 @@
     )
 }
 
-/// Makes one call and returns its latency; `None` if it failed.
+/// Sends one call and returns its latency in microseconds; `None` if it failed.
 async fn time_call(client: &Client, url: &str) -> Option<u64> {
     let body = json!({
         "model": "small",
@@ -160,7 +160,7 @@
     u64::try_from(started.elapsed().as_micros()).ok()
 }
 
-/// Returns an account without a practical limit and one engine.
+/// Builds a configuration with one engine and an account whose limits are practically unlimited.
 fn build_document(engine: &str) -> Result<Document, Box<dyn Error>> {
     let key: CallerKey = CALLER_KEY.parse()?;
     let account = "account: load\nrate_calls_per_s: 100000\nburst_calls: 100000\n";
@@ -180,13 +180,15 @@
     })
 }
 
-/// Returns an address on loopback that was free a moment ago.
+/// Returns a loopback address with an unused port.
+///
+/// The port is released before it is returned, so another process may still take it.
 fn free_address() -> std::io::Result<String> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     Ok(listener.local_addr()?.to_string())
 }
 
-/// Starts the entry daemon with a settings file of its own.
+/// Starts the entry daemon with a settings file in `folder`.
 fn start_vm(entry: &Path, folder: &Path, store: &str, listen: &str) -> std::io::Result<Child> {
     let secret = folder.join("secret");
     std::fs::write(&secret, "the secret of a fleet of one VM for measurements")?;
@@ -206,7 +208,7 @@
         .spawn()
 }
 
-/// Waits until the VM is ready.
+/// Polls `/readyz` until the VM is ready, for at most 10 s.
 async fn wait_ready(listen: &str) -> Result<(), Box<dyn Error>> {
     let client = Client::new();
     for _ in 0..200 {
@@ -216,5 +218,5 @@
         }
         sleep(Duration::from_millis(50)).await;
     }
-    Err("the VM is not ready after 10 s; look at its log".into())
+    Err(format!("the VM at {listen} is not ready after 10 s; check its log").into())
 }
--- a/crates/report/src/bin/membership_report.rs
+++ b/crates/report/src/bin/membership_report.rs
@@ -1,4 +1,4 @@
-//! Measures the control traffic of an idle fleet in the mesh.
+//! Measures the control traffic of an idle fleet in the simulated mesh.
 //!
 //! Bytes are estimates of compact JSON with TCP and IP headers, see
 //! `knapweeddale_testing::mesh::estimated_bytes`. Times depend on the machine.
@@ -11,26 +11,26 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// Seed of the delays.
+    /// Seed of the simulated delays.
     #[bpaf(fallback(1))]
     seed: u64,
-    /// Measured seconds of virtual time.
+    /// Measured time, in seconds of virtual time.
     #[bpaf(fallback(30))]
     seconds: u64,
-    /// Measure during an outage of the store.
+    /// Measure while the store is down.
     outage: bool,
-    /// Lose one VM in this many seconds; 0 for none.
+    /// Crash one VM every this many seconds; 0 for no crashes.
     #[bpaf(fallback(0))]
     crash_every: u64,
-    /// Sizes of fleets.
+    /// Fleet sizes to measure.
     #[bpaf(positional("VMS"), many)]
     vms: Vec<usize>,
 }
 
-/// Sizes that are measured when none is given.
+/// Fleet sizes that are measured if none is given.
 const DEFAULT_FLEET_SIZES: [usize; 6] = [8, 16, 32, 64, 128, 700];
 
-/// Virtual time in which a fleet forms before it is measured.
+/// Virtual time for the fleet to form, and to settle in an outage, before it is measured.
 const WARM_UP_MS: u64 = 30_000;
 
 fn main() {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Measures one size of fleet and prints its row.
+/// Measures one fleet size and prints its row.
 fn measure_fleet(vms: usize, options: &Options) {
     let fleet = FleetConfig {
         revision: Revision(1),
@@ -98,7 +98,7 @@
     );
 }
 
-/// Crashes one VM each time the interval is over, and starts the one before again.
+/// Crashes a VM every `every` seconds and restarts the one that crashed before it.
 fn crash_periodically(mesh: &mut Mesh, second: u64, every: u64) {
     if every == 0 || !second.is_multiple_of(every) {
         return;
@@ -110,7 +110,7 @@
     mesh.crash(number % mesh.len());
 }
 
-/// What one VM spends on control.
+/// Control traffic of one VM per second, and the share of a processor that its ticks use.
 struct Rates {
     messages: f64,
     bytes: f64,
@@ -119,7 +119,7 @@
 }
 
 impl Rates {
-    /// Returns the rates between two counts; messages and bytes are sent plus received.
+    /// Computes the rates between two samples; messages and bytes are sent plus received.
     fn between(before: Traffic, after: Traffic, seconds: f64) -> Self {
         let per_s = |before: u64, after: u64| (after - before) as f64 / seconds;
         Self {
--- a/crates/report/src/bin/policy_report.rs
+++ b/crates/report/src/bin/policy_report.rs
@@ -13,23 +13,23 @@
     /// Number of seeds.
     #[bpaf(fallback(3))]
     seeds: u64,
-    /// Arrival of programs per run, in seconds; the first sixth is not measured.
+    /// Time during which programs arrive, in seconds; the first sixth is not measured.
     #[bpaf(fallback(600))]
     seconds: u64,
-    /// Runs at the same time.
+    /// Number of runs in parallel.
     #[bpaf(fallback(4))]
     threads: usize,
-    /// Only this load, in percent.
+    /// Run only this load, in percent of the capacity.
     load: Option<u64>,
-    /// Only policies whose name contains this.
+    /// Run only policies whose name contains this text.
     policy: Option<String>,
-    /// Programs per second that count as the capacity; worked out when absent.
+    /// Capacity in programs per second; computed from the engine model if absent.
     capacity: Option<f64>,
     /// Print JSON instead of a table.
     json: bool,
 }
 
-/// One run.
+/// One run: the indices of its load and policy, and its seed.
 struct Job {
     load_index: usize,
     variant_index: usize,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Prints the figures of one policy.
+/// Prints the measures of one policy.
 fn print_row(options: &Options, variant: &Variant, measures: &Measures) {
     if options.json {
         let text = serde_json::to_string(measures).unwrap_or_default();
@@ -112,7 +112,7 @@
     );
 }
 
-/// Makes the programs of each seed at a rate of arrival.
+/// Generates one workload per seed at an arrival rate.
 fn generate_workloads(options: &Options, programs_per_s: f64) -> Vec<Workload> {
     let until_us = options.seconds * 1_000_000;
     (0..options.seeds)
@@ -120,7 +120,8 @@
         .collect()
 }
 
-/// Runs all policies with all workloads.
+/// Runs every policy on every workload and returns the outcomes ordered by load, policy
+/// and seed.
 fn run_all(
     options: &Options,
     variants: &[Variant],
--- a/crates/report/src/bin/rates_report.rs
+++ b/crates/report/src/bin/rates_report.rs
@@ -1,5 +1,7 @@
-//! Compares shares of an account's rate with a static split and with one owner
-//! that every call asks, on the same calls: `rates_report [seed] [seconds]`.
+//! Compares three ways to enforce an account's rate on the same calls: shares that an
+//! owner lends to VMs, a static split, and one owner that every call asks.
+//!
+//! Usage: `rates_report [seed] [seconds]`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,18 +11,19 @@
 use knapweeddale_testing::mesh::{Trace, TraceEvent};
 use knapweeddale_testing::scenario::{Scenario, Totals, VMS, fleet};
 
-/// Longest wait of a call, as `rate_wait_ms`.
+/// Longest time that a call waits for admission, as the setting `rate_wait_ms`.
 const WAIT_US: u64 = 2_000_000;
 
-/// Time to ask the owner and back.
+/// Round trip of a request to the owner.
 const ROUND_TRIP_US: u64 = 2_300;
 
-/// Time from the death of an owner until another one may lend: suspicion and takeover wait.
+/// Time from the crash of an owner until its successor may lend: suspicion plus takeover wait.
 const OWNER_FAILOVER_US: u64 = 5_300_000;
 
-/// A bucket with calls that wait in line.
+/// A token bucket and the queue of calls that wait for it.
 struct BucketQueue {
     bucket: Bucket,
+    /// Time at which each call reached the bucket, and its index in the trace.
     waiting: VecDeque<(u64, usize)>,
 }
 
@@ -32,7 +35,7 @@
         }
     }
 
-    /// Admits waiting calls up to a time and marks those that were admitted.
+    /// Processes the queue up to a time: marks admitted calls and drops those that time out.
     fn advance(&mut self, until_us: u64, admitted: &mut [bool]) {
         while let Some(&(arrived_us, call)) = self.waiting.front() {
             let from_us = self.bucket.updated_us.max(arrived_us);
@@ -53,14 +56,14 @@
     }
 }
 
-/// A call of a trace.
+/// The arrival of a call at a VM.
 struct Arrival {
     at_us: u64,
     vm: usize,
     account: AccountName,
 }
 
-/// Returns the calls of a trace.
+/// Extracts the arrivals of calls from a trace.
 fn collect_arrivals(trace: &Trace, vms: &BTreeMap<String, usize>) -> Vec<Arrival> {
     let calls = trace.events.iter().filter_map(|(at_us, event)| {
         let TraceEvent::Arrived { vm, call } = event else {
@@ -76,7 +79,9 @@
     calls.collect()
 }
 
-/// Serves the calls of each account from lines; `route` returns the line and the delay.
+/// Replays the calls of each account on `parts` buckets with equal parts of its rate and burst.
+///
+/// `route` returns the index of a call's bucket and the delay until the call reaches it.
 fn replay(
     arrivals: &[Arrival],
     parts: u64,
@@ -97,7 +102,7 @@
         for (number, call) in &calls {
             let (queue, delay_us) = route(call);
             queues[queue].advance(call.at_us, &mut admitted);
-            // A call that cannot be asked for in time is refused.
+            // A call that reaches its bucket after the longest wait is refused.
             if delay_us < WAIT_US {
                 queues[queue]
                     .waiting
@@ -116,7 +121,7 @@
     result
 }
 
-/// Prints one line of the table.
+/// Prints one row of the table.
 fn print_row(name: &str, served: &BTreeMap<AccountName, Served>) {
     let mut totals = Totals::default();
     totals.add_quietly(served);
@@ -130,7 +135,9 @@
     );
 }
 
-/// Runs the scenario, with the owner of the first account dying a third of the way if asked.
+/// Runs the scenario and prints a row for each scheme.
+///
+/// With `has_crash`, the owner of the account `aller` crashes after a third of the time.
 fn compare_schemes(seed: u64, seconds: u64, has_crash: bool) {
     let mut scenario = Scenario::new(seed);
     let vms = (0..VMS).map(|vm| (format!("vm-{vm}"), vm)).collect();
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,3 +1,3 @@
-//! Policy reports and load generation for knapweeddale.
+//! Workload generation and measurement for the report programs of knapweeddale.
 
 pub mod policy;
--- a/crates/report/src/policy/measure.rs
+++ b/crates/report/src/policy/measure.rs
@@ -1,44 +1,45 @@
-//! What is measured in a run.
+//! Measures of runs: latency, wasted prefill, fairness and capacity.
 
 use super::program::Workload;
 use super::run::{ACCOUNTS, ENGINES, Outcome, engine_model, engine_work_us};
 
-/// The figures of one policy at one load, over all seeds.
+/// Measures of one policy at one load, over all seeds.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct Measures {
-    /// Mean latency of whole programs.
+    /// Mean latency of programs, from the arrival to the last response.
     pub mean_s: f64,
-    /// Median latency.
+    /// Median of the latency.
     pub p50_s: f64,
     /// 95th percentile of the latency.
     pub p95_s: f64,
     /// 99th percentile of the latency.
     pub p99_s: f64,
-    /// Prefix tokens that were read again, in percent of those read before.
+    /// Prefix tokens that had to be prefilled again, in percent of all prefix tokens that
+    /// earlier turns had processed.
     pub wasted_percent: f64,
-    /// Prefix tokens that were read again.
+    /// Prefix tokens that had to be prefilled again.
     pub wasted_tokens: u64,
-    /// The share of the worst-served account, the lowest over all seeds.
+    /// Lowest [`worst_share`] over all seeds.
     pub worst_share: f64,
-    /// Refused calls.
+    /// Number of refused calls.
     pub refused_calls: u64,
-    /// Calls that ended.
+    /// Number of calls that ended.
     pub calls: u64,
-    /// Programs that did not end.
+    /// Number of measured programs that did not end.
     pub unfinished: u64,
-    /// Mean learned limit at the end.
+    /// Mean concurrency limit of the engines at the end of the runs.
     pub mean_limit: f64,
 }
 
 impl Measures {
-    /// Sums runs with different seeds up.
+    /// Aggregates runs with different seeds.
     pub fn new(runs: &[(&Workload, &Outcome)]) -> Self {
         let mut latencies_us: Vec<u64> = runs
             .iter()
             .flat_map(|(_, outcome)| outcome.latencies_us.iter().copied())
             .collect();
         latencies_us.sort_unstable();
-        let at = |percent: usize| {
+        let percentile_s = |percent: usize| {
             let index = (latencies_us.len() * percent / 100).min(latencies_us.len() - 1);
             latencies_us[index] as f64 / 1e6
         };
@@ -53,9 +54,9 @@
             .map(|(workload, run)| worst_share(workload, &run.delivered));
         Self {
             mean_s: latencies_us.iter().sum::<u64>() as f64 / latencies_us.len() as f64 / 1e6,
-            p50_s: at(50),
-            p95_s: at(95),
-            p99_s: at(99),
+            p50_s: percentile_s(50),
+            p95_s: percentile_s(95),
+            p99_s: percentile_s(99),
             wasted_percent: wasted_tokens as f64 * 100.0 / sum(|run| run.known_tokens) as f64,
             wasted_tokens,
             worst_share: shares.fold(f64::INFINITY, f64::min),
@@ -67,11 +68,11 @@
     }
 }
 
-/// Returns the share of the worst-served account.
+/// Returns the lowest ratio of delivered work to entitlement over all accounts, at most 1.
 ///
-/// The entitlement of an account is its demand, or its equal part of the work
-/// that was delivered in total if demand is higher (maximum-minimum fairness).
-/// Its demand is the work that an idle fleet would have ended in the same time.
+/// Entitlements follow max-min fairness over the total delivered work: an account is
+/// entitled to its demand, or to the fair level if its demand is higher. Its demand is
+/// the work that an idle fleet would have completed in the same time.
 pub fn worst_share(workload: &Workload, delivered: &[f64]) -> f64 {
     let demand = account_demand(workload);
     let total: f64 = delivered.iter().sum();
@@ -81,8 +82,8 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// Returns the programs per second that keep all engines busy at their knee
-/// when no prefix is ever read again.
+/// Returns the arrival rate, in programs per second, that keeps all engines at their knee
+/// if no prefix is ever prefilled again.
 ///
 /// No policy can serve more without running engines past their knee.
 pub fn capacity() -> f64 {
@@ -101,7 +102,7 @@
     ENGINES as f64 * 1e6 / program_us
 }
 
-/// Returns the work that an idle fleet would have ended in the measured time, by account.
+/// Returns the work that an idle fleet would have completed in the measured time, by account.
 fn account_demand(workload: &Workload) -> Vec<f64> {
     let model = engine_model();
     let mut demand = vec![0.0; ACCOUNTS];
@@ -117,7 +118,9 @@
     demand
 }
 
-/// Returns the level at which demands, cut at it, add up to a total.
+/// Returns the max-min fair level: demands capped at it add up to `total`.
+///
+/// It is infinite if `total` covers all demands.
 fn max_min_level(demand: &[f64], total: f64) -> f64 {
     let mut sorted = demand.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/report/src/policy/mod.rs
+++ b/crates/report/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The policy report: placement policies on the same programs in virtual time.
+//! Comparison of placement policies on the same programs in virtual time.
 
 mod measure;
 mod program;
--- a/crates/report/src/policy/program.rs
+++ b/crates/report/src/policy/program.rs
@@ -1,49 +1,49 @@
-//! Programs with heavy-tailed lengths, tool pauses and sub-agents.
+//! Generates programs with heavy-tailed lengths, tool pauses and sub-agents.
 
 use knapweeddale_testing::Random;
 use knapweeddale_testing::mesh::BatchModel;
 
-/// Share of the programs of each account, in percent: a few are large.
+/// Share of programs that each account sends, in percent; a few accounts send most.
 const ACCOUNT_PERCENT: [u64; 8] = [28, 22, 16, 10, 8, 6, 5, 5];
 
-/// The shape of the Pareto distribution of turns; lower is heavier.
+/// Shape of the Pareto distribution of turns; a lower value makes the tail heavier.
 const TURNS_SHAPE: f64 = 1.1;
 
 /// One turn of a program.
 #[derive(Debug, Clone)]
 pub struct TurnPlan {
-    /// Tokens that the caller adds to the history.
+    /// Prompt tokens that the turn adds to the history.
     pub new_tokens: u64,
     /// Tokens of the response.
     pub answer_tokens: u64,
-    /// Pause for tools after the response.
+    /// Time that tools run after the response and the sub-agents.
     pub pause_us: u64,
-    /// Sub-agents that run after the response, before the next turn.
+    /// Sub-agents that run in parallel after the response; the next turn waits for all of them.
     pub children: Vec<Plan>,
 }
 
-/// A program or sub-agent.
+/// The turns of a program or sub-agent.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The account, from 0.
+    /// Index of the client account, from 0.
     pub account: usize,
-    /// Its turns.
+    /// The turns, in order.
     pub turns: Vec<TurnPlan>,
 }
 
-/// Programs with their time of arrival.
+/// Programs with their arrival times.
 #[derive(Debug, Clone)]
 pub struct Workload {
-    /// Arrivals in order.
+    /// Arrival time in microseconds and program, in order of time.
     pub arrivals: Vec<(u64, Plan)>,
-    /// Arrivals before this time warm the fleet up and are not measured.
+    /// End of the warm-up; programs that arrive earlier are not measured.
     pub from_us: u64,
     /// End of the arrivals.
     pub until_us: u64,
 }
 
 impl Workload {
-    /// Makes programs that arrive at a rate.
+    /// Generates programs with Poisson arrivals at a rate.
     pub fn new(seed: u64, programs_per_s: f64, from_us: u64, until_us: u64) -> Self {
         let mut random = Random::new(seed);
         let mut arrivals = Vec::new();
@@ -53,7 +53,7 @@
             if at_us >= until_us as f64 {
                 break;
             }
-            // Each program has its own generator, so that a load changes only the arrivals.
+            // Each program has its own generator, so that the load changes only the arrivals.
             let mut own = Random::new(random.bits());
             arrivals.push((at_us as u64, Plan::new(&mut own)));
         }
@@ -66,14 +66,16 @@
 }
 
 impl Plan {
-    /// Makes a program with 5 to 130 turns.
+    /// Generates a program with 5 to 130 turns.
     fn new(random: &mut Random) -> Self {
         let account = pick_account(random);
         let turns = sample_pareto(random, 5.0, 130.0, TURNS_SHAPE);
         Self::with_turns(random, account, turns, 2_000, true)
     }
 
-    /// Makes a program with a number of turns.
+    /// Generates a program or sub-agent with a number of turns.
+    ///
+    /// Only a program may spawn sub-agents (`may_spawn`).
     fn with_turns(
         random: &mut Random,
         account: usize,
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Returns the calls with the times at which an idle fleet would end them,
-    /// counted from the arrival, and their tokens of new prompt and response.
+    /// Returns the total duration on an idle fleet, and for each call its end time, new
+    /// prompt tokens and response tokens; times are in microseconds from the arrival.
     pub fn ideal_schedule(&self, model: &BatchModel) -> (u64, Vec<(u64, u64, u64)>) {
         let mut at_us = 0;
         let mut calls = Vec::new();
@@ -131,7 +133,7 @@
     }
 }
 
-/// Chooses an account by its share of the programs.
+/// Samples an account by its share of programs.
 fn pick_account(random: &mut Random) -> usize {
     let mut left = random.below(100);
     for (account, percent) in ACCOUNT_PERCENT.iter().enumerate() {
@@ -143,7 +145,7 @@
     0
 }
 
-/// Returns a number from a bounded Pareto distribution.
+/// Samples a bounded Pareto distribution by inverting its distribution function.
 fn sample_pareto(random: &mut Random, low: f64, high: f64, shape: f64) -> u64 {
     let unit = random.below(1_000_000) as f64 / 1e6;
     let (low_power, high_power) = (low.powf(shape), high.powf(shape));
@@ -151,7 +153,7 @@
     power.powf(-1.0 / shape).clamp(low, high) as u64
 }
 
-/// Returns the pause for a tool: mostly short, some much longer.
+/// Samples the pause for a tool: 5% of pauses have a mean of 20 s, the others of 1 s.
 fn sample_pause_us(random: &mut Random) -> u64 {
     let mean_us = if random.per_mille(50) { 20e6 } else { 1e6 };
     20_000 + random.exponential(mean_us).min(120e6) as u64
--- a/crates/report/src/policy/run.rs
+++ b/crates/report/src/policy/run.rs
@@ -1,4 +1,4 @@
-//! Runs a workload on a fleet in virtual time.
+//! Runs a workload on a simulated fleet in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,28 +11,28 @@
 use super::program::{Plan, Workload};
 use super::variant::Variant;
 
-/// Engines of the fleet.
+/// Number of engines in the fleet.
 pub(super) const ENGINES: usize = 8;
 
-/// Highest limit of calls on an engine, as an operator would set it without measuring.
+/// Maximum concurrency limit of an engine, as an operator would set it without measuring.
 const MAX_CALLS: u32 = 48;
 
-/// Accounts of the fleet.
+/// Number of client accounts in the fleet.
 pub(super) const ACCOUNTS: usize = 8;
 
-/// Steps in which the virtual time passes; shorter than the shortest pause.
+/// Step of the virtual time; shorter than the shortest tool pause.
 const STEP_MS: u64 = 10;
 
-/// Time after a refusal until the caller sends the call again.
+/// Time after which a caller retries a refused call.
 const RETRY_DELAY_US: u64 = 2_000_000;
 
-/// Longest response that callers allow; the scheduler does not know the real length.
+/// Response limit that callers declare; the scheduler does not know the real length.
 const MAX_TOKENS: u64 = 1_024;
 
-/// Tokens that the result of a sub-agent adds to its parent's history.
+/// Tokens that a sub-agent's result adds to its parent's history.
 const RESULT_TOKENS: u64 = 200;
 
-/// Returns how the engines of the report behave.
+/// Returns the batch model of the simulated engines.
 pub fn engine_model() -> BatchModel {
     BatchModel {
         max_calls: MAX_CALLS as usize,
@@ -40,39 +40,39 @@
     }
 }
 
-/// A policy with a workload.
+/// The inputs of one run.
 #[derive(Debug)]
 pub struct Trial<'a> {
-    /// The policy.
+    /// The policy under test.
     pub variant: Variant,
-    /// The programs.
+    /// The programs and their arrivals.
     pub workload: &'a Workload,
-    /// The seed of the mesh.
+    /// Seed of the simulated mesh.
     pub seed: u64,
-    /// Time after the arrivals for programs to end.
+    /// Time after the last arrivals in which programs may still end.
     pub drain_us: u64,
 }
 
-/// What a run leads to.
+/// The results of one run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Latency of measured programs; of those that have not ended, their age.
+    /// Latencies of measured programs; for those that have not ended, their age.
     pub latencies_us: Vec<u64>,
-    /// Measured programs that have not ended.
+    /// Number of measured programs that have not ended.
     pub unfinished: u64,
-    /// Prompt tokens that were read again although they had been read before.
+    /// Prompt tokens that were prefilled again although earlier turns had processed them.
     pub wasted_tokens: u64,
-    /// Prompt tokens that had been read before.
+    /// Prompt tokens that earlier turns had processed.
     pub known_tokens: u64,
-    /// Refused calls.
+    /// Number of refused calls.
     pub refused_calls: u64,
-    /// Calls that ended.
+    /// Number of calls that ended.
     pub calls: u64,
-    /// Work that ended by the end of the arrivals, by account.
+    /// Work completed between the warm-up and the end of the arrivals, by account.
     pub delivered: Vec<f64>,
-    /// Calls that ended by the end of the arrivals, after the warm-up.
+    /// Number of calls that ended between the warm-up and the end of the arrivals.
     pub measured_calls: u64,
-    /// Limits of the engines at the end.
+    /// Concurrency limits of the engines at the end of the run.
     pub limits: Vec<u32>,
 }
 
@@ -80,11 +80,14 @@
 struct Task<'a> {
     plan: &'a Plan,
     name: String,
+    /// Index of the program in `Driver::roots`.
     root: usize,
     parent: Option<usize>,
     turn: usize,
     context_tokens: u64,
+    /// Sub-agents of the current turn that have not ended.
     running_children: usize,
+    /// Sub-agents spawned so far, to number their names.
     spawned_children: usize,
     continuation: Option<Continuation>,
 }
@@ -92,18 +95,25 @@
 /// The state of a run.
 struct Driver<'a> {
     mesh: Mesh,
+    /// Programs and sub-agents, including those that have ended.
     tasks: Vec<Task<'a>>,
+    /// Tasks by the time of their next call.
     pending_starts: BinaryHeap<Reverse<(u64, usize)>>,
+    /// Calls in flight, with their task and the prompt tokens that earlier turns had processed.
     calls: BTreeMap<CallId, (usize, u64)>,
+    /// Arrival and end time of each program.
     roots: Vec<(u64, Option<u64>)>,
+    /// Calls sent so far; makes the digest of each call unique.
     sent_calls: u64,
     model: BatchModel,
     outcome: Outcome,
+    /// End of the arrivals.
     until_us: u64,
+    /// End of the warm-up.
     from_us: u64,
 }
 
-/// Returns the work of a call in microseconds of an engine at its knee.
+/// Returns the work of a call, in microseconds of engine time at the knee.
 pub(super) fn engine_work_us(model: &BatchModel, new_tokens: u64, answer_tokens: u64) -> f64 {
     let knee = model.knee_calls;
     let token_us = model.step_us(knee) / knee as f64;
@@ -152,7 +162,7 @@
 }
 
 impl<'a> Driver<'a> {
-    /// Adds a program or sub-agent.
+    /// Adds a program or sub-agent and returns its index.
     fn add_task(
         &mut self,
         plan: &'a Plan,
@@ -174,10 +184,10 @@
         self.tasks.len() - 1
     }
 
-    /// Runs until all programs have ended or a time has come.
+    /// Runs until all programs have ended or the virtual time reaches `end_us`.
     fn run(&mut self, end_us: u64) {
-        let mut open = self.roots.len();
-        while open > 0 && self.mesh.now_us() < end_us {
+        let mut running_programs = self.roots.len();
+        while running_programs > 0 && self.mesh.now_us() < end_us {
             let until_us = self.mesh.now_us() + STEP_MS * 1_000;
             while let Some(Reverse((at_us, task))) = self.pending_starts.peek().copied()
                 && at_us <= until_us
@@ -189,7 +199,7 @@
             self.mesh.run_until(until_us);
             let events = std::mem::take(&mut self.mesh.trace.events);
             for (at_us, event) in events {
-                open -= self.handle_event(at_us, event);
+                running_programs -= self.handle_event(at_us, event);
             }
         }
     }
@@ -214,7 +224,7 @@
         self.calls.insert(id, (number, task.context_tokens));
     }
 
-    /// Handles an event; returns the number of programs that ended.
+    /// Handles an event and returns the number of programs that ended (0 or 1).
     fn handle_event(&mut self, at_us: u64, event: TraceEvent) -> usize {
         match event {
             TraceEvent::Charged(charge) => {
@@ -240,7 +250,7 @@
         }
     }
 
-    /// Counts the tokens of a call that ended.
+    /// Records the tokens and work of a call that ended.
     fn record_charge(&mut self, at_us: u64, charge: &Charge) {
         let Some(&(number, known_tokens)) = self.calls.get(&charge.attempt.call) else {
             return;
@@ -256,7 +266,9 @@
         self.outcome.known_tokens += known_tokens;
     }
 
-    /// Moves a task on after a response.
+    /// Advances a task after a response: starts its sub-agents or finishes the turn.
+    ///
+    /// Returns the number of programs that ended.
     fn handle_response(&mut self, at_us: u64, number: usize) -> usize {
         let task = &mut self.tasks[number];
         let plan: &'a Plan = task.plan;
@@ -277,7 +289,9 @@
         self.finish_turn(at_us, number)
     }
 
-    /// Starts the next turn of a task or ends it.
+    /// Schedules the next turn of a task, or ends the task after its last turn.
+    ///
+    /// Returns the number of programs that ended.
     fn finish_turn(&mut self, at_us: u64, number: usize) -> usize {
         let task = &mut self.tasks[number];
         let pause_us = task.plan.turns[task.turn].pause_us;
@@ -291,16 +305,16 @@
             self.roots[task.root].1 = Some(at_us);
             return 1;
         };
-        let row = &mut self.tasks[parent];
-        row.context_tokens += RESULT_TOKENS;
-        row.running_children -= 1;
-        if row.running_children == 0 {
+        let parent_task = &mut self.tasks[parent];
+        parent_task.context_tokens += RESULT_TOKENS;
+        parent_task.running_children -= 1;
+        if parent_task.running_children == 0 {
             return self.finish_turn(at_us, parent);
         }
         0
     }
 
-    /// Sums the run up.
+    /// Computes the results of the run.
     fn into_outcome(mut self, workload: &Workload, start_us: u64) -> Outcome {
         let now_us = self.mesh.now_us();
         for (arrived_us, ended_us) in &self.roots {
@@ -311,8 +325,8 @@
             let latency_us = ended_us.unwrap_or(now_us).saturating_sub(*arrived_us);
             self.outcome.latencies_us.push(latency_us);
         }
-        let read_again = self.mesh.engines.prompt_tokens_found();
-        self.outcome.wasted_tokens = self.outcome.known_tokens.saturating_sub(read_again);
+        let cached_tokens = self.mesh.engines.prompt_tokens_found();
+        self.outcome.wasted_tokens = self.outcome.known_tokens.saturating_sub(cached_tokens);
         if let Some(control) = self.mesh.control(0) {
             let rows = control.tables().upstreams.iter();
             self.outcome.limits = rows.map(|(_, row)| row.limit.calls).collect();
--- a/crates/report/src/policy/variant.rs
+++ b/crates/report/src/policy/variant.rs
@@ -1,19 +1,19 @@
-//! The policies that are compared.
+//! The policies that the report compares.
 
 use knapweeddale_core::config::{PolicyFeatures, PolicyPreset, UpstreamChoice};
 
-/// A policy that is compared with others.
+/// A policy under comparison.
 #[derive(Debug, Clone, Copy)]
 pub struct Variant {
-    /// Its name in the report.
+    /// Name in the report.
     pub name: &'static str,
-    /// Its preset.
+    /// Preset of the core settings.
     pub preset: PolicyPreset,
-    /// Its parts.
+    /// Features that are switched on, and the choice of upstreams.
     pub features: PolicyFeatures,
 }
 
-/// First come first served without any part of the policy.
+/// First come, first served: all features off but for the choice of upstreams.
 const fn fcfs(upstream_choice: UpstreamChoice) -> PolicyFeatures {
     PolicyFeatures {
         fair_sharing: false,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The whole policy.
+/// All features of the policy.
 const FULL: PolicyFeatures = PolicyFeatures {
     fair_sharing: true,
     least_attained: true,
@@ -32,7 +32,7 @@
 };
 
 impl Variant {
-    /// All policies, the one that the others are compared with second.
+    /// All policies; the second one is the baseline.
     pub const ALL: &[Self] = &[
         Self::with_fair_share("fcfs, round robin", fcfs(UpstreamChoice::RoundRobin)),
         Self::with_fair_share("fcfs, least loaded", fcfs(UpstreamChoice::LeastLoaded)),
@@ -75,7 +75,7 @@
     /// The policy that the others are compared with.
     pub const BASELINE: &Self = &Self::ALL[1];
 
-    /// Makes a policy with the preset `fair_share`.
+    /// Creates a policy with the preset `fair_share`.
     const fn with_fair_share(name: &'static str, features: PolicyFeatures) -> Self {
         Self {
             name,
