--- a/crates/core/src/output/decision.rs
+++ b/crates/core/src/output/decision.rs
@@ -107,7 +107,7 @@
         source: TakeoverSource,
     },
     /// A program was closed.
-    #[display("homes: {program} generation {generation} closed, {reason}")]
+    #[display("homes: {program} generation {generation} is over, {reason}")]
     ProgramClosed {
         /// The closed program.
         program: ProgramKey,
