--- a/crates/report/src/bin/latency_report.rs
+++ b/crates/report/src/bin/latency_report.rs
@@ -218,5 +218,5 @@
         }
         sleep(Duration::from_millis(50)).await;
     }
-    Err(format!("the VM at {listen} is not ready after 10 s; check its log").into())
+    Err("the VM is not ready after 10 s; check its log".into())
 }
