--- a/crates/testing/examples/demo.rs
+++ b/crates/testing/examples/demo.rs
@@ -1,7 +1,7 @@
-//! One entry VM with fakes of the platform, an engine and a plain service.
+//! Runs one entry VM with a fake platform, a fake engine and a fake plain service.
 //!
-//! Run it with `cargo run -p knapweeddale_testing --example demo` and paste
-//! the lines that it prints into another terminal.
+//! Start it with `cargo run -p knapweeddale_testing --example demo` and paste
+//! the commands that it prints into another terminal.
 
 use std::error::Error;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use knapweeddale_testing::platform::Platform;
 use knapweeddale_token::CallerKey;
 
-/// The key of the demo's only account; it is of no use elsewhere.
+/// Key of the demo's only account; it is not valid in any other fleet.
 const KEY: &str = "kwd_demo_0123456789abcdefghijABCDEFGHIJ01";
 
-/// The secret of the demo's fleet of one VM.
+/// Fleet secret of the demo, which has a single VM.
 const SECRET: &[u8] = b"the secret of a demo on loopback";
 
 #[rocket::main]
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// Returns an account, an engine service and a plain service.
+/// Returns the configuration: an account, an engine service and a plain service.
 fn document(engine: &str, plain: &str) -> Result<Document, Box<dyn Error>> {
     let key: CallerKey = KEY.parse()?;
     let account = "account: demo\nrate_calls_per_s: 50\nburst_calls: 20\n";
@@ -76,7 +76,7 @@
     })
 }
 
-/// Prints lines to paste into another terminal.
+/// Prints the commands to paste into another terminal.
 fn print_lines(url: &str) {
     println!(
         r#"
--- a/crates/testing/src/callers.rs
+++ b/crates/testing/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that drive programs through a mesh, as agents with retries do.
+//! Simulated callers that send program calls to a mesh and retry them as agents do.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,16 +13,17 @@
 use crate::Random;
 use crate::mesh::{Mesh, TraceEvent};
 
-/// Time after which a caller gives a silent connection up and sends again.
+/// Time without a response after which a caller abandons a call and retries it.
 const SILENT_US: u64 = 25_000_000;
 
-/// Time until a caller notices that the VM of its call has died.
+/// Time until a caller abandons a call whose VM has crashed or restarted.
 const BROKEN_US: u64 = 200_000;
 
-/// The account of all callers.
+/// Name of the client account that all callers share.
 pub const ACCOUNT: &str = "norte";
 
-/// Returns one account, four engines, and a service with a route that may not be repeated.
+/// Returns a fleet of one client account, a service of four engines, and a plain service with
+/// a non-idempotent and an idempotent route.
 pub fn fleet(program_tokens: u64, program_turns: u32) -> FleetConfig {
     let account = AccountConfig::builder()
         .name(AccountName::from(ACCOUNT))
@@ -79,7 +80,7 @@
     }
 }
 
-/// Returns the key of a program of the callers.
+/// Returns the key of a program of [`ACCOUNT`].
 pub fn key_of(program: &str) -> ProgramKey {
     ProgramKey {
         account: AccountName::from(ACCOUNT),
@@ -87,18 +88,18 @@
     }
 }
 
-/// What a request asks for.
+/// Which kind of call a caller sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A completion by a model.
     Chat,
-    /// A request that may not be repeated.
+    /// A plain request to a non-idempotent route, which needs a permit.
     Send,
-    /// A plain request that may be repeated.
+    /// A plain request to an idempotent route.
     Status,
 }
 
-/// Returns a call of a program.
+/// Returns a call for a turn of a program.
 pub fn call(
     kind: Kind,
     program: &str,
@@ -133,7 +134,7 @@
         .build()
 }
 
-/// Returns a request about a program.
+/// Returns a request for a permit or for the end of a program.
 pub fn request(
     kind: ProgramRequestKind,
     program: &str,
@@ -148,7 +149,7 @@
         .build()
 }
 
-/// Returns the identity that the mesh replaces.
+/// Returns a placeholder identity, which the mesh replaces.
 fn unset_id() -> CallId {
     CallId {
         incarnation: Incarnation(0),
@@ -156,7 +157,7 @@
     }
 }
 
-/// Returns the key of the account.
+/// Returns the key that all callers present.
 fn presented_key() -> PresentedKey {
     PresentedKey {
         id: KeyId::from("k1"),
@@ -164,7 +165,7 @@
     }
 }
 
-/// A program and its caller.
+/// State of a caller, which drives one program.
 #[derive(Debug)]
 struct Agent {
     program: String,
@@ -179,12 +180,12 @@
     end: Option<Result<(), RefusalKind>>,
 }
 
-/// Callers that drive programs through a mesh.
+/// Simulated callers, each of which runs one program turn by turn.
 ///
-/// A caller sends a turn, waits, and sends it again when its VM dies, when
-/// the connection stays silent, or when it is told that the call did not run.
-/// It sends a request with a permit again only with that permit; when the
-/// outcome is unknown it asks for the status in the same turn.
+/// A caller retries a turn when its VM crashes, when no response arrives in
+/// time, or when a refusal says that the call did not run. It retries a
+/// request with a permit only with the same permit; when the outcome is
+/// unknown, it sends a status request in the same turn.
 #[derive(Debug)]
 pub struct Callers {
     agents: Vec<Agent>,
@@ -192,20 +193,20 @@
     seen: usize,
     turns: u32,
     random: Random,
-    /// A VM that the load balancer sends no calls to.
+    /// VM that callers send no calls to, as if the load balancer excluded it.
     pub avoid: Option<usize>,
-    /// Calls sent twice at once, of 1,000.
+    /// Share of calls, per mille, that are sent twice at the same time.
     pub doubled_per_mille: u64,
-    /// Calls by what their refusal said.
+    /// Number of refusals by kind and by whether the call ran.
     pub refused: BTreeMap<(RefusalKind, String), u64>,
-    /// Calls with a response.
+    /// Number of turns completed with a response that carries a continuation.
     pub answered: u64,
-    /// Calls sent.
+    /// Number of calls sent, including retries and duplicates.
     pub sent: u64,
 }
 
 impl Callers {
-    /// Makes callers of root programs with two sub-agents each.
+    /// Creates callers for root programs and for two sub-agents of each root.
     pub fn new(roots: usize, turns: u32, seed: u64) -> Self {
         let names = (0..roots).flat_map(|number| {
             let root = format!("tour-{seed}-{number}");
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Runs the mesh and the callers for a time.
+    /// Runs the mesh and the callers in steps of 20 ms.
     pub fn run_ms(&mut self, mesh: &mut Mesh, ms: u64) {
         for _ in 0..ms / 20 {
             self.step(mesh);
@@ -248,8 +249,8 @@
         }
     }
 
-    /// Returns the programs that neither finished nor were told that they are over, with the
-    /// reason.
+    /// Returns the state of each program that neither completed nor was refused as over budget
+    /// or ended.
     pub fn stuck(&self) -> Vec<String> {
         let is_over = |kind: &RefusalKind| {
             matches!(kind, RefusalKind::OverBudget | RefusalKind::ProgramEnded)
@@ -262,7 +263,7 @@
         stuck.map(|agent| format!("{agent:?}")).collect()
     }
 
-    /// Returns how many of 1,000 calls were refused as `may_have_run`.
+    /// Returns the share of sent calls, per mille, that were refused as `may_have_run`.
     pub fn unknown_per_mille(&self) -> f64 {
         let is_unknown = |ran: &str| ran == Execution::MayHaveRun.to_string();
         let unknown = self.refused.iter().filter(|((_, ran), _)| is_unknown(ran));
@@ -270,7 +271,7 @@
         1_000.0 * unknown as f64 / self.sent.max(1) as f64
     }
 
-    /// Takes the responses and sends what is due.
+    /// Handles new trace events and sends the calls that are due.
     fn step(&mut self, mesh: &mut Mesh) {
         while let Some((_, event)) = mesh.trace.events.get(self.seen) {
             self.seen += 1;
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Handles an event of the trace.
+    /// Updates the caller that a trace event concerns.
     fn take(&mut self, now_us: u64, event: TraceEvent) {
         match event {
             TraceEvent::Answered(answered) => {
@@ -329,7 +330,9 @@
         }
     }
 
-    /// Removes a call from the open ones of its caller.
+    /// Removes a call from the open calls of its caller and returns the caller's index.
+    ///
+    /// Returns `None` if the call is not open.
     fn close(&mut self, call: CallId) -> Option<usize> {
         let at = *self.by_call.get(&call)?;
         let open = &mut self.agents[at].open;
@@ -338,7 +341,7 @@
         (open.len() < before).then_some(at)
     }
 
-    /// Goes on to the next turn.
+    /// Advances a caller to its next turn after a response with a continuation.
     fn answered(
         &mut self,
         now_us: u64,
@@ -351,7 +354,7 @@
         };
         let (agent, random) = (&mut self.agents[at], &mut self.random);
         let Some(continuation) = continuation else {
-            // The home did not confirm the turn in time; a resend gets the state.
+            // The home did not confirm the turn in time; a retry returns the continuation.
             agent.wait_until_us = now_us + 500_000;
             return;
         };
@@ -370,7 +373,7 @@
         agent.wait_until_us = now_us + random.below(400_000);
     }
 
-    /// Decides what to do about a refusal, unless another copy of the call is open.
+    /// Decides how to continue after a refusal, unless another copy of the call is open.
     fn refused(&mut self, now_us: u64, at: usize, kind: RefusalKind, ran: Execution) {
         let agent = &mut self.agents[at];
         agent.wait_until_us = now_us + 300_000;
@@ -383,8 +386,9 @@
             | RefusalKind::StaleContinuation
             | RefusalKind::HistoryMismatch
             | RefusalKind::ContinuationMissing => agent.end = Some(Err(kind)),
-            // A request that was never sent before, or certainly did not run, gets a new permit.
-            // Without a send, a permit was asked for and refused: the outcome of the turn is unknown.
+            // A request that was sent only once, or that did not run, can get a new permit.
+            // With no sends, the permit request itself was refused, so the outcome of the turn is
+            // unknown.
             RefusalKind::PermitVoid if agent.sends == 1 || ran == Execution::NotRun => {
                 agent.permit = None;
                 agent.sends = 0;
@@ -397,7 +401,7 @@
         }
     }
 
-    /// Gives up calls whose VM has died or that have been silent for long.
+    /// Abandons calls whose VM has crashed or restarted, or that got no response in time.
     fn drop_broken(&mut self, mesh: &Mesh, at: usize) {
         let now_us = mesh.now_us();
         self.agents[at].open.retain(|(call, vm, sent_us)| {
@@ -407,7 +411,7 @@
         });
     }
 
-    /// Sends the turn of a caller, or what it needs first.
+    /// Sends the next call of a caller, or the permit or end request that is due instead.
     fn send(&mut self, mesh: &mut Mesh, at: usize) {
         let Some(vm) = self.pick(mesh) else {
             return;
@@ -446,13 +450,13 @@
         }
     }
 
-    /// Remembers an open call.
+    /// Records a call as open.
     fn opened(&mut self, mesh: &Mesh, at: usize, vm: usize, id: CallId) {
         self.by_call.insert(id, at);
         self.agents[at].open.push((id, vm, mesh.now_us()));
     }
 
-    /// Picks a VM that runs.
+    /// Picks a random running VM other than the avoided one.
     fn pick(&mut self, mesh: &Mesh) -> Option<usize> {
         let up: Vec<usize> = (0..mesh.len())
             .filter(|vm| mesh.control(*vm).is_some() && self.avoid != Some(*vm))
--- a/crates/testing/src/fleet.rs
+++ b/crates/testing/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Configurations and calls that tests share.
+//! Fleet configurations, calls and views shared by tests.
 
 use knapweeddale_core::input::StoredView;
 use knapweeddale_core::tables::{Member, View};
@@ -9,11 +9,11 @@
     UpstreamName, VmName,
 };
 
-/// The model that all engines of [`engine_fleet`] offer.
+/// Name of the model that all engines of [`engine_fleet`] serve.
 pub const MODEL: &str = "small";
 
-/// Makes a fleet of engines `engine-0`, `engine-1` and so on, and accounts
-/// `account-0` and so on with keys `key-0` and so on.
+/// Returns a fleet of engines `engine-0`, `engine-1` and so on, with client accounts
+/// `account-0` and so on that have keys `key-0` and so on.
 pub fn engine_fleet(engines: usize, max_running_calls: u32, accounts: usize) -> FleetConfig {
     let model = ModelName::from(MODEL);
     let upstreams = (0..engines).map(|number| {
@@ -41,8 +41,7 @@
     }
 }
 
-/// Adds a plain service `pay` with a route `/pay` that may not be repeated
-/// and a route `/read` that may.
+/// Adds a plain service `pay` with a non-idempotent route `/pay` and an idempotent route `/read`.
 pub fn add_plain_service(fleet: &mut FleetConfig, upstreams: usize) {
     let upstreams = (0..upstreams).map(|number| {
         UpstreamConfig::builder()
@@ -65,7 +64,7 @@
     fleet.services.push(service);
 }
 
-/// Makes an account without a limit that matters.
+/// Returns an account whose limits are too high for tests to reach.
 fn account(number: usize) -> AccountConfig {
     AccountConfig::builder()
         .name(AccountName::from(format!("account-{number}")))
@@ -82,7 +81,7 @@
         .build()
 }
 
-/// Makes an engine call of an account that belongs to no program.
+/// Returns an engine call of an account, without a program.
 pub fn engine_call(account: usize, content: u64, prompt_tokens: u64, max_tokens: u64) -> NewCall {
     NewCall::builder()
         .id(CallId {
@@ -100,14 +99,16 @@
         .build()
 }
 
-/// Returns the digest of a numbered content.
+/// Returns a content digest that encodes a number.
 pub fn digest(content: u64) -> ContentDigest {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&content.to_le_bytes());
     ContentDigest(bytes)
 }
 
-/// Makes a stored view with some of the VMs of a mesh at their first start.
+/// Returns a stored view with some VMs of a mesh at their first incarnation.
+///
+/// The first two are the writers.
 pub fn stored_view(epoch: u64, vms: &[usize]) -> StoredView {
     let members = vms.iter().map(|&number| Member {
         vm: VmName::from(format!("vm-{number}")),
--- a/crates/testing/src/lib.rs
+++ b/crates/testing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test support for knapweeddale: a seeded exchange of messages between VMs in
-//! virtual time, invariants over its traces, and fakes of outside systems.
+//! Test support for knapweeddale: a seeded simulation of VMs in virtual time,
+//! invariants over its traces, and fakes of external systems.
 
 pub mod callers;
 pub mod fleet;
--- a/crates/testing/src/load.rs
+++ b/crates/testing/src/load.rs
@@ -1,4 +1,4 @@
-//! Calls of client accounts that arrive at random.
+//! Random arrivals of calls of client accounts.
 
 use knapweeddale_core::{
     AccountConfig, AccountName, CallId, EngineConfig, FleetConfig, Incarnation, KeyConfig, KeyId,
@@ -9,20 +9,20 @@
 use crate::Random;
 use crate::mesh::Mesh;
 
-/// The calls of one account.
+/// Call rate of one account and its distribution over the VMs.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// The account.
+    /// Account that sends the calls.
     pub account: AccountName,
-    /// Calls a second over all VMs, in thousandths.
+    /// Call rate over all VMs, in thousandths of a call per second.
     pub offered_mcalls_per_s: u64,
-    /// The part of the calls that each VM receives, relative to the others.
+    /// Relative share of the calls that each VM receives.
     pub weights: Vec<u64>,
 }
 
-/// Makes a fleet of accounts (name, rate in calls a second, burst) and one upstream.
+/// Returns a fleet of accounts (name, rate in calls per second, burst) and one upstream.
 ///
-/// The upstream has room for all calls, so that only the rates decide.
+/// The upstream has capacity for all calls, so that only rate limits refuse calls.
 pub fn fleet(accounts: &[(&str, u64, u64)]) -> FleetConfig {
     let model = ModelName::from("small");
     let upstream = UpstreamConfig::builder()
@@ -60,7 +60,7 @@
     }
 }
 
-/// Makes a short call of an account of [`fleet`].
+/// Returns a short engine call of an account of [`fleet`].
 pub fn call(account: &AccountName) -> NewCall {
     NewCall::builder()
         .id(CallId {
@@ -77,9 +77,9 @@
         .build()
 }
 
-/// Sends calls with exponentially distributed pauses for some milliseconds.
+/// Sends calls for `ms` milliseconds with exponentially distributed intervals.
 ///
-/// A VM that is down gets no calls, as behind a load balancer.
+/// VMs that are down receive no calls, as behind a load balancer.
 pub fn drive(mesh: &mut Mesh, loads: &[Load], random: &mut Random, ms: u64) {
     let end_us = mesh.now_us() + ms * 1_000;
     let mut next_us: Vec<_> = loads
@@ -100,13 +100,13 @@
     mesh.run_until(end_us);
 }
 
-/// Returns the time to the next call of an account.
+/// Returns a random interval until the next call of an account.
 fn pause_us(load: &Load, random: &mut Random) -> u64 {
     let mean_us = 1e9 / load.offered_mcalls_per_s.max(1) as f64;
     random.exponential(mean_us) as u64
 }
 
-/// Chooses the VM that receives a call.
+/// Chooses the running VM that receives a call, at random by weight.
 fn choose(mesh: &Mesh, load: &Load, random: &mut Random) -> Option<usize> {
     let is_up = |vm: &usize| mesh.control(*vm).is_some();
     let running: Vec<_> = (0..load.weights.len()).filter(is_up).collect();
--- a/crates/testing/src/measures.rs
+++ b/crates/testing/src/measures.rs
@@ -7,29 +7,29 @@
 
 use crate::mesh::{Trace, TraceEvent};
 
-/// How an account was served.
+/// Admissions and refusals of an account, compared with one bucket for all VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Served {
     /// Calls that were admitted or refused.
     pub calls: u64,
     /// Calls that were admitted.
     pub admitted: u64,
-    /// Calls that one bucket for all VMs would have admitted at once.
+    /// Calls that one bucket for all VMs would have admitted immediately.
     pub entitled: u64,
-    /// Calls that were refused although such a bucket held a call for them.
+    /// Calls that were refused although such a bucket had a token for them.
     ///
-    /// In this bucket, admitted calls count from their arrival and refused calls take nothing.
-    /// While an account sends more than its rate, a single call that is lost (with the bucket of
-    /// a VM that died) stays in this bucket and makes every later refusal count.
+    /// This bucket is charged for admitted calls at their arrival, and not for refused calls.
+    /// While an account exceeds its rate, a single token that is lost (with the bucket of a VM
+    /// that crashed) stays in this bucket, so every later refusal is counted as well.
     pub wrongly_refused: u64,
-    /// As `wrongly_refused`, but a wrongly refused call takes the call that was held for it.
+    /// As `wrongly_refused`, but the bucket is charged for wrongly refused calls too.
     ///
-    /// Each lost call counts once, also while an account sends more than its rate.
+    /// Each lost token is counted once, even while an account exceeds its rate.
     pub lost_calls: u64,
 }
 
 impl Served {
-    /// Returns the admitted part of the entitlement, at most 1.
+    /// Returns the ratio of admitted to entitled calls, at most 1.
     pub fn share(&self) -> f64 {
         (self.admitted as f64 / self.entitled.max(1) as f64).min(1.0)
     }
@@ -40,9 +40,9 @@
     }
 }
 
-/// One bucket for all VMs that follows the admissions of a trace.
+/// One token bucket for all VMs, charged for the calls that the trace admitted.
 ///
-/// Its level is below zero while calls wait that will be admitted.
+/// Its level is negative while calls that will be admitted are still queued.
 #[derive(Debug)]
 struct Follower {
     limits: Bucket,
@@ -51,7 +51,7 @@
 }
 
 impl Follower {
-    /// Makes a full bucket.
+    /// Creates a full bucket.
     fn new(limits: Bucket) -> Self {
         Self {
             limits,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Brings the level up to a time; returns whether there is a call.
+    /// Refills the bucket up to a time and returns whether it has a token for a call.
     fn has_call(&mut self, at_us: u64) -> bool {
         let grown_ncalls = self.limits.rate_mcalls_per_s * (at_us - self.updated_us);
         let level_ncalls = self.level_ncalls + i128::from(grown_ncalls);
@@ -69,26 +69,26 @@
         self.level_ncalls >= i128::from(NCALLS_PER_CALL)
     }
 
-    /// Takes one call out.
+    /// Charges the bucket for one call.
     fn take(&mut self) {
         self.level_ncalls -= i128::from(NCALLS_PER_CALL);
     }
 }
 
-/// What an account is compared with.
+/// Reference buckets of an account and the resulting counts.
 #[derive(Debug)]
 struct Ideal {
-    /// Admits by itself.
+    /// Admits calls independently of the trace.
     entitled: Bucket,
-    /// Refused calls take nothing.
+    /// Charged for admitted calls only; see [`Served::wrongly_refused`].
     strict: Follower,
-    /// Wrongly refused calls take one.
+    /// Charged for wrongly refused calls too; see [`Served::lost_calls`].
     once: Follower,
     served: Served,
 }
 
 impl Ideal {
-    /// Makes the comparison of an account from a full bucket.
+    /// Starts a comparison in which all buckets are full.
     fn new(limits: Bucket) -> Self {
         Self {
             entitled: limits,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes in a call that arrived.
+    /// Counts a call that arrived and charges the buckets for it.
     fn arrive(&mut self, at_us: u64, is_admitted: bool) {
         let is_wrong = self.strict.has_call(at_us) && !is_admitted;
         let is_lost = self.once.has_call(at_us) && !is_admitted;
@@ -117,7 +117,7 @@
     }
 }
 
-/// Compares calls (arrival and whether they were admitted) with one bucket.
+/// Compares calls (arrival time and whether they were admitted) with one bucket.
 pub fn compare(limits: Bucket, calls: impl IntoIterator<Item = (u64, bool)>) -> Served {
     let mut ideal = Ideal::new(limits);
     for (at_us, is_admitted) in calls {
@@ -126,10 +126,10 @@
     ideal.served
 }
 
-/// Compares each account with one bucket for all VMs.
+/// Compares the calls of each account with one bucket for all VMs.
 ///
-/// Calls that were neither admitted nor refused are left out: their VM
-/// crashed, or they still wait.
+/// Calls that were neither admitted nor refused are not counted: their VM
+/// crashed, or they are still queued.
 pub fn served(trace: &Trace, fleet: &FleetConfig) -> BTreeMap<AccountName, Served> {
     let mut ideals = BTreeMap::new();
     let mut accounts = HashMap::<KeyId, AccountName>::new();
@@ -162,7 +162,7 @@
         .collect()
 }
 
-/// Returns the calls that were admitted and those that were refused.
+/// Returns the admitted calls and the refused calls of a trace.
 fn outcomes(trace: &Trace) -> (HashSet<CallId>, HashSet<CallId>) {
     let mut admitted = HashSet::new();
     let mut refused = HashSet::new();
@@ -180,7 +180,7 @@
     (admitted, refused)
 }
 
-/// Adds up how all accounts were served.
+/// Returns the sums over all accounts.
 pub fn total<'a>(served: impl IntoIterator<Item = &'a Served>) -> Served {
     served
         .into_iter()
@@ -193,7 +193,7 @@
         })
 }
 
-/// Returns the smallest share of an account.
+/// Returns the smallest [`Served::share`] of all accounts.
 pub fn worst_share<'a>(served: impl IntoIterator<Item = &'a Served>) -> f64 {
     served.into_iter().map(Served::share).fold(1.0, f64::min)
 }
--- a/crates/testing/src/random.rs
+++ b/crates/testing/src/random.rs
@@ -1,11 +1,11 @@
 //! A seeded random number generator.
 
-/// A SplitMix64 generator, so that a seed gives the same test on every machine.
+/// A SplitMix64 generator; a seed gives the same sequence on every machine.
 #[derive(Debug, Clone)]
 pub struct Random(u64);
 
 impl Random {
-    /// Makes a generator from a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
@@ -18,22 +18,22 @@
         z ^ (z >> 31)
     }
 
-    /// Returns a number below a bound; 0 if the bound is 0.
+    /// Returns a number below `bound`, or 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.bits().checked_rem(bound).unwrap_or(0)
     }
 
-    /// Returns a number from a range that includes both ends.
+    /// Returns a number from `low` to `high`, inclusive.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.below(high - low + 1)
     }
 
-    /// Returns true in this many of 1,000 cases.
+    /// Returns true with a probability of `cases` in 1,000.
     pub fn per_mille(&mut self, cases: u64) -> bool {
         self.below(1_000) < cases
     }
 
-    /// Returns an exponentially distributed number with this mean.
+    /// Returns an exponentially distributed number with mean `mean`.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         let unit = ((self.bits() >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
         -unit.ln() * mean
--- a/crates/testing/src/scenario.rs
+++ b/crates/testing/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Eight VMs and eight accounts, the size of today's fleets.
+//! Scenario of eight VMs and eight accounts, the size of current fleets.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,23 @@
 use crate::mesh::Mesh;
 use crate::{Random, invariants};
 
-/// VMs of the scenario.
+/// Number of VMs.
 pub const VMS: usize = 8;
 
-/// Failure domains of the scenario.
+/// Number of failure domains.
 const DOMAINS: usize = 3;
 
-/// Time after which all VMs are members and takeovers of the joins are over.
+/// Time until all VMs are members and the takeovers that their joins cause are complete.
 const JOIN_MS: u64 = 20_000;
 
-/// Name, rate and burst in calls, offered percent of the rate, weights of the VMs.
+/// Name, rate in calls per second, burst in calls, offered load in percent of the rate, and
+/// relative share of the calls that each VM receives.
 type Account = (&'static str, u64, u64, u64, [u64; VMS]);
 
 const EVEN: [u64; VMS] = [1; VMS];
 
-/// Accounts: two large, one that sends 5 times its rate, and several with skewed arrival.
+/// Accounts: two large ones, one that sends 5 times its rate, and several whose calls arrive
+/// unevenly over the VMs.
 pub const ACCOUNTS: [Account; 8] = [
     ("aller", 60, 120, 85, EVEN),
     ("bodega", 60, 120, 85, [20, 5, 1, 1, 1, 1, 1, 1]),
@@ -35,13 +37,13 @@
     ("habanera", 2, 8, 60, [0, 0, 0, 0, 8, 1, 1, 1]),
 ];
 
-/// Returns the configuration of the scenario.
+/// Returns the fleet configuration of [`ACCOUNTS`].
 pub fn fleet() -> FleetConfig {
     let accounts: Vec<_> = ACCOUNTS.iter().map(|a| (a.0, a.1, a.2)).collect();
     load::fleet(&accounts)
 }
 
-/// Returns the calls of all accounts, at a part of the rates above.
+/// Returns the loads of [`ACCOUNTS`], scaled to a percentage.
 pub fn loads(percent: u64) -> Vec<Load> {
     ACCOUNTS
         .iter()
@@ -53,38 +55,38 @@
         .collect()
 }
 
-/// A mesh of 8 VMs that are members, with its load.
+/// A running mesh of 8 member VMs and the load on it.
 #[derive(Debug)]
 pub struct Scenario {
-    /// The VMs.
+    /// Mesh of the VMs.
     pub mesh: Mesh,
-    /// Chooses arrivals.
+    /// Generates arrival times and receiving VMs.
     pub random: Random,
-    /// The calls of all accounts.
+    /// Loads of all accounts.
     pub loads: Vec<Load>,
     seed: u64,
 }
 
 impl Scenario {
-    /// Starts all VMs.
+    /// Starts all VMs and runs until they have joined.
     pub fn new(seed: u64) -> Self {
         let mut mesh = Mesh::with_domains(VMS, DOMAINS, fleet(), seed);
         mesh.run_ms(JOIN_MS);
         Self {
             mesh,
-            // Arrivals do not depend on the faults of the mesh.
+            // Seeded separately, so that arrivals do not depend on the faults of the mesh.
             random: Random::new(!seed),
             loads: loads(100),
             seed,
         }
     }
 
-    /// Sends calls for some milliseconds.
+    /// Sends the loads for `ms` milliseconds.
     pub fn drive_ms(&mut self, ms: u64) {
         load::drive(&mut self.mesh, &self.loads, &mut self.random, ms);
     }
 
-    /// Returns the VM that owns an account.
+    /// Returns the VM that owns an account in the newest view.
     ///
     /// # Panics
     ///
@@ -98,7 +100,7 @@
         self.mesh.index(owner).expect("the owner is in the mesh")
     }
 
-    /// Checks the invariants of rates over the trace.
+    /// Checks the invariants of rates and refusals over the trace.
     ///
     /// # Panics
     ///
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Lets waiting calls end, checks the invariants and returns how accounts were served.
+    /// Waits for queued calls, checks the invariants and returns the results of each account.
     pub fn finish(mut self) -> BTreeMap<AccountName, Served> {
         self.mesh.run_ms(3_000);
         self.check();
@@ -120,14 +122,14 @@
     }
 }
 
-/// How accounts were served, over several seeds.
+/// Results summed over several seeds.
 #[derive(Debug)]
 pub struct Totals {
-    /// Accounts of which one bucket for all VMs would have admitted every call.
+    /// Sum over accounts for which one bucket for all VMs would have admitted every call.
     pub in_rate: Served,
-    /// The other accounts.
+    /// Sum over the other accounts.
     pub over_rate: Served,
-    /// The smallest share of an account with one seed.
+    /// Smallest [`Served::share`] of an account with any seed.
     pub worst_share: f64,
 }
 
@@ -142,7 +144,7 @@
 }
 
 impl Totals {
-    /// Adds the accounts of one seed and prints those that lost calls.
+    /// Adds the results of one seed and prints the accounts with wrongly refused calls.
     pub fn add(&mut self, seed: u64, results: &BTreeMap<AccountName, Served>) {
         for (account, served) in results {
             if served.wrongly_refused > 0 {
@@ -152,7 +154,7 @@
         self.add_quietly(results);
     }
 
-    /// Adds the accounts of one seed.
+    /// Adds the results of one seed without printing.
     pub fn add_quietly(&mut self, results: &BTreeMap<AccountName, Served>) {
         for served in results.values() {
             let sum = if served.is_in_rate() {
@@ -167,12 +169,12 @@
             .min(measures::worst_share(results.values()));
     }
 
-    /// Returns the wrongly refused part of the calls of accounts within their rate.
+    /// Returns the ratio of wrongly refused to entitled calls of accounts within their rate.
     pub fn wrongful_part(&self) -> f64 {
         self.in_rate.wrongly_refused as f64 / self.in_rate.entitled.max(1) as f64
     }
 
-    /// Returns the lost calls of all accounts as a part of their entitlement.
+    /// Returns the ratio of lost to entitled calls of all accounts.
     pub fn lost_part(&self) -> f64 {
         let all = measures::total([&self.in_rate, &self.over_rate]);
         all.lost_calls as f64 / all.entitled.max(1) as f64
--- a/crates/testing/src/seeds.rs
+++ b/crates/testing/src/seeds.rs
@@ -1,10 +1,10 @@
-//! Common steps of fault tests.
+//! Seeds, setup and checks shared by fault tests.
 
 use crate::invariants;
 use crate::mesh::Mesh;
 use knapweeddale_core::{AccountName, FleetConfig};
 
-/// Seeds that fault tests run with unless `KNAPWEEDDALE_SEEDS` says otherwise.
+/// Number of seeds that fault tests run with if `KNAPWEEDDALE_SEEDS` is not set.
 const DEFAULT_SEEDS: u64 = 3;
 
 /// Returns the seeds that a fault test runs with.
@@ -15,7 +15,7 @@
     seeds_from(1)
 }
 
-/// Returns the seeds of a test whose first seed is another one by default.
+/// Like [`seeds`], but starts at `first` if `KNAPWEEDDALE_FIRST_SEED` is not set.
 pub fn seeds_from(first: u64) -> std::ops::RangeInclusive<u64> {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     let first = number("KNAPWEEDDALE_FIRST_SEED").unwrap_or(first);
@@ -23,20 +23,19 @@
     first..=first + count.max(1) - 1
 }
 
-/// Returns names of accounts, enough for each VM of a small fleet to own some.
+/// Returns account names, enough for each VM of a small fleet to own some.
 pub fn sample_accounts() -> Vec<AccountName> {
     (0..16)
         .map(|number| AccountName::from(format!("account-{number}")))
         .collect()
 }
 
-/// Largest fleet that is sampled often and for all accounts.
+/// Largest number of VMs for which [`run_sampled`] checks all accounts every 50 ms.
 const SMALL_FLEET: usize = 9;
 
 /// Runs a mesh and checks every 50 ms that no account has two owners.
 ///
-/// In a large fleet, which costs more to sample, a few accounts are checked
-/// every 100 ms.
+/// In a larger fleet, where a check costs more, it checks 8 accounts every 100 ms.
 ///
 /// # Panics
 ///
@@ -56,22 +55,22 @@
     }
 }
 
-/// Makes a mesh of 8 VMs in 3 failure domains in which all are members.
+/// Returns a mesh of 8 VMs in 3 failure domains after all VMs have joined.
 ///
 /// # Panics
 ///
-/// Panics with the seed if an account has two owners meanwhile.
+/// Panics with the seed if an account has two owners during the joins.
 pub fn settled_mesh(fleet: FleetConfig, seed: u64) -> Mesh {
     let mut mesh = Mesh::with_domains(8, 3, fleet, seed);
     run_sampled(&mut mesh, 6_000, seed);
     mesh
 }
 
-/// Checks that some VMs have a lease and a view with exactly these members.
+/// Checks that each VM in `running` has a lease and a view with exactly these members.
 ///
 /// # Panics
 ///
-/// Panics with the seed and the first VM for which that is not so.
+/// Panics with the seed and the first VM whose view or lease is wrong.
 pub fn assert_members(mesh: &Mesh, running: &[usize], seed: u64) {
     for &vm in running {
         let members = &mesh.tables(vm).view.members;
