--- a/crates/testing/src/http/connection.rs
+++ b/crates/testing/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection of a fake.
+//! Server side of one HTTP/1.1 connection.
 
 use std::io;
 
@@ -8,18 +8,18 @@
 /// A request as it was received.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The method.
+    /// HTTP method, such as `POST`.
     pub method: String,
-    /// The path with its query.
+    /// Request target: path and query string.
     pub path: String,
-    /// All bytes before the body.
+    /// Raw request line and headers, with the empty line that ends them.
     pub head: Vec<u8>,
-    /// The body.
+    /// Body of `content-length` bytes; empty without that header.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// Returns the value of a header.
+    /// Returns the trimmed value of a header; its name is matched without regard to case.
     pub fn header(&self, name: &str) -> Option<String> {
         let head = String::from_utf8_lossy(&self.head);
         head.lines().skip(1).find_map(|line| {
@@ -30,7 +30,7 @@
     }
 }
 
-/// One connection of a fake.
+/// A connection that a client opened to a fake.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -82,7 +82,7 @@
         Ok(Some(request))
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes without HTTP framing.
     ///
     /// # Errors
     ///
@@ -91,7 +91,7 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Sends a complete response.
+    /// Sends a complete response with content type `kind`.
     ///
     /// # Errors
     ///
@@ -105,7 +105,7 @@
         self.stream.write_all(body).await
     }
 
-    /// Starts a response of server-sent events.
+    /// Sends the head of a chunked response of server-sent events.
     ///
     /// # Errors
     ///
@@ -115,7 +115,7 @@
         self.stream.write_all(head.as_bytes()).await
     }
 
-    /// Sends one event.
+    /// Sends one server-sent event as one chunk.
     ///
     /// # Errors
     ///
@@ -126,7 +126,7 @@
         self.stream.write_all(chunk.as_bytes()).await
     }
 
-    /// Ends a response of server-sent events.
+    /// Sends the last chunk of a response of server-sent events.
     ///
     /// # Errors
     ///
@@ -135,7 +135,7 @@
         self.stream.write_all(b"0\r\n\r\n").await
     }
 
-    /// Waits until the client closes the connection.
+    /// Waits until the client closes the connection or it breaks.
     pub async fn closed(&mut self) {
         while !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(0) | Err(_)) {}
     }
--- a/crates/testing/src/http/engine.rs
+++ b/crates/testing/src/http/engine.rs
@@ -1,4 +1,4 @@
-//! A fake of a model engine.
+//! Fake model engine with a batch limit, a prefix cache and injected faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -11,18 +11,19 @@
 use super::connection::{Connection, Request};
 use super::server::{FakeServer, Handler};
 
-/// How an engine behaves.
+/// Configuration of a [`FakeEngine`].
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Requests that run at once; further ones are refused with 429.
+    /// Maximum number of concurrent requests; further ones are refused with 429.
     pub batch_limit: usize,
-    /// Pause before each token.
+    /// Delay before each token.
     pub token_time: Duration,
-    /// Age of the numbers in a load report.
+    /// Minimum age of the running count in a load report.
     pub load_lag: Duration,
-    /// Programs whose prefix is kept.
+    /// Maximum number of programs in the prefix cache.
     pub cache_entries: usize,
-    /// Models loaded at the start; `None` if the engine takes no orders.
+    /// Models loaded at startup; `None` leaves `models` null in load reports until an order
+    /// arrives.
     pub models: Option<Vec<String>>,
 }
 
@@ -38,20 +39,21 @@
     }
 }
 
-/// A fault of one request.
+/// Fault injected into one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineFault {
-    /// The engine crashes after this many tokens: all its connections break.
+    /// After this many tokens, [`FakeEngine::crash_due`] returns and the request stalls until
+    /// the test crashes the server.
     CrashAfter(u64),
-    /// The connection stays open and carries nothing after this many tokens.
+    /// After this many tokens, the engine sends nothing more and keeps the connection open.
     SilentAfter(u64),
     /// After this many tokens, the engine waits for [`FakeEngine::open_gate`].
     GateAfter(u64),
-    /// The engine refuses the request with this status.
+    /// The engine refuses the request with this HTTP status.
     Refuse(u16),
 }
 
-/// A model engine with a batch limit and a prefix cache.
+/// Fake model engine that counts executions and generates predictable text.
 #[derive(Debug)]
 pub struct FakeEngine {
     options: EngineOptions,
@@ -61,27 +63,28 @@
     state: Mutex<State>,
 }
 
-/// What changes while the engine runs.
+/// Mutable state of the engine.
 #[derive(Debug, Default)]
 struct State {
     running: usize,
     loads: VecDeque<(Instant, usize)>,
-    /// When the process last restarted.
+    /// Time of the last restart; `None` before the first.
     restarted: Option<Instant>,
-    /// Models loaded, with the highest fencing token seen.
+    /// Loaded models; `None` until an order arrives if the options list none.
     models: Option<Vec<String>>,
+    /// Highest fencing token received, as (epoch, seq).
     token: (u64, u64),
     heads: Vec<u8>,
     executions: BTreeMap<String, u64>,
     faults: VecDeque<EngineFault>,
     cancelled: u64,
-    /// Prefix and generation by program; the front was used longest ago.
+    /// Program, generation and cached prompt words; least recently used first.
     cache: VecDeque<(String, u64, Vec<String>)>,
 }
 
-/// # Steering
+/// # Control by tests
 impl FakeEngine {
-    /// Starts an engine.
+    /// Starts an engine on loopback.
     ///
     /// # Errors
     ///
@@ -101,22 +104,23 @@
         .await
     }
 
-    /// Plans a fault for the next request that has none.
+    /// Queues a fault; each completion request consumes one, in order.
     pub fn plan(&self, fault: EngineFault) {
         self.state().faults.push_back(fault);
     }
 
-    /// Returns the models that orders have loaded.
+    /// Returns the models that are loaded.
     pub fn models(&self) -> Vec<String> {
         self.state().models.clone().unwrap_or_default()
     }
 
-    /// Lets one request pass its gate.
+    /// Lets one request continue past [`EngineFault::GateAfter`].
     pub fn open_gate(&self) {
         self.gate.add_permits(1);
     }
 
-    /// Waits until a planned crash is due; the caller then crashes the server.
+    /// Waits until a request reaches [`EngineFault::CrashAfter`]; the caller then crashes the
+    /// server.
     pub async fn crash_due(&self) {
         if let Ok(permit) = self.crashed.acquire().await {
             permit.forget();
@@ -126,22 +130,22 @@
 
 /// # Observation
 impl FakeEngine {
-    /// Returns how often requests with this `x-request-id` ran.
+    /// Returns how often a request with this `x-request-id` was executed.
     pub fn executions(&self, request: &str) -> u64 {
         self.state().executions.get(request).copied().unwrap_or(0)
     }
 
-    /// Returns how many requests ran.
+    /// Returns the number of requests executed.
     pub fn total_executions(&self) -> u64 {
         self.state().executions.values().sum()
     }
 
-    /// Returns how many requests were cancelled by their client.
+    /// Returns the number of requests that ended because their connection closed.
     pub fn cancelled(&self) -> u64 {
         self.state().cancelled
     }
 
-    /// Returns the programs in the cache with their generation.
+    /// Returns the name and generation of each program in the prefix cache.
     pub fn cached_programs(&self) -> Vec<(String, u64)> {
         let state = self.state();
         let entries = state.cache.iter();
@@ -150,7 +154,7 @@
             .collect()
     }
 
-    /// Returns all bytes of heads received so far.
+    /// Returns the concatenated heads of all requests received.
     pub fn heads(&self) -> Vec<u8> {
         self.state().heads.clone()
     }
@@ -160,7 +164,7 @@
     }
 }
 
-/// One completion in progress.
+/// A completion request in progress.
 struct Completion {
     model: String,
     stream: bool,
@@ -218,7 +222,7 @@
 
 /// # Requests
 impl FakeEngine {
-    /// Admits a request to the batch, or returns the status of its refusal.
+    /// Admits a request to the batch, or returns the HTTP status of its refusal.
     fn admit(&self, request: &Request) -> Result<(Completion, Option<EngineFault>), u16> {
         let body: Value = serde_json::from_slice(&request.body).map_err(|_| 400u16)?;
         let mut state = self.state();
@@ -279,7 +283,9 @@
         connection.end_events().await
     }
 
-    /// Acts out a fault that is due before a token.
+    /// Applies the fault if it is due before this token.
+    ///
+    /// Fails if the client closes the connection while the fault blocks the request.
     async fn pass_fault(
         &self,
         fault: Option<EngineFault>,
@@ -310,7 +316,7 @@
         Err(io::ErrorKind::ConnectionAborted.into())
     }
 
-    /// Answers a load report with numbers that are `load_lag` old.
+    /// Returns the load report as JSON; its running count is at least `load_lag` old.
     fn load(&self) -> String {
         let state = self.state();
         let now = Instant::now();
@@ -328,7 +334,8 @@
         .to_string()
     }
 
-    /// Carries out an order unless its fencing token is old; returns the status.
+    /// Loads or unloads a model and returns the HTTP status; 409 if the fencing token is older
+    /// than the highest one received.
     fn order(&self, body: &[u8]) -> u16 {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
         let number = |field: &str| body["token"][field].as_u64().unwrap_or(0);
@@ -347,7 +354,8 @@
         200
     }
 
-    /// Releases the cache of a program unless a newer program has its name.
+    /// Evicts the cache entry of a program if its generation matches, so that a newer program of
+    /// the same name keeps its entry.
     fn release(&self, body: &[u8]) -> String {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
         let name = body["program"].as_str().unwrap_or_default();
@@ -360,7 +368,7 @@
 }
 
 impl State {
-    /// Counts running requests and remembers when the number changed.
+    /// Adjusts the number of running requests and records the time; keeps 1,000 records.
     fn change_running(&mut self, by: isize) {
         self.running = self.running.saturating_add_signed(by);
         self.loads.push_back((Instant::now(), self.running));
@@ -369,7 +377,7 @@
         }
     }
 
-    /// Returns how many words of the prompt are cached, and caches the prompt.
+    /// Caches the prompt and returns how many of its leading words were cached already.
     fn use_cache(&mut self, request: &Request, words: Vec<String>, entries: usize) -> usize {
         let Some(program) = request.header("kwd-program") else {
             return 0;
@@ -389,7 +397,7 @@
     }
 }
 
-/// Returns the words of all messages; a word counts as a token.
+/// Splits the content of all messages into words; each word counts as one token.
 fn words_of(body: &Value) -> Vec<String> {
     let messages = body["messages"].as_array().into_iter().flatten();
     messages
@@ -438,7 +446,7 @@
     }
 }
 
-/// Takes a request out of the batch when it ends, even if its task is aborted.
+/// Guard that removes a request from the batch on drop, even if its task is aborted.
 struct Running<'a>(&'a FakeEngine);
 
 impl Drop for Running<'_> {
--- a/crates/testing/src/http/mod.rs
+++ b/crates/testing/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! Fakes of upstreams on loopback.
+//! Fake upstreams over HTTP on loopback.
 //!
-//! They listen on a port that the system chooses and stop when dropped. Tests
-//! steer them by faults and gates, never by the clock.
+//! Each listens on a port that the operating system assigns and stops when dropped. Tests
+//! control them with injected faults and gates, never with timing.
 
 mod connection;
 mod engine;
--- a/crates/testing/src/http/plain.rs
+++ b/crates/testing/src/http/plain.rs
@@ -1,4 +1,4 @@
-//! A fake of a plain service.
+//! Fake of a plain service, which is not a model engine.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,11 +9,11 @@
 use super::connection::{Connection, Request};
 use super::server::{FakeServer, Handler};
 
-/// A plain service that echoes requests and counts its executions.
+/// Plain service that echoes requests and counts their executions.
 #[derive(Debug, Default)]
 pub struct FakePlain(Mutex<Seen>);
 
-/// What the service has received.
+/// Recorded requests and pending faults.
 #[derive(Debug, Default)]
 struct Seen {
     heads: Vec<u8>,
@@ -22,7 +22,7 @@
     hang_next: bool,
 }
 
-/// What becomes of a request after it ran.
+/// What happens to the connection after a request was executed.
 enum Ending {
     Respond,
     Drop,
@@ -30,7 +30,7 @@
 }
 
 impl FakePlain {
-    /// Starts the service.
+    /// Starts the service on loopback.
     ///
     /// # Errors
     ///
@@ -39,27 +39,27 @@
         FakeServer::start(Self::default()).await
     }
 
-    /// Returns how often requests with this `x-request-id` ran.
+    /// Returns how often a request with this `x-request-id` was executed.
     pub fn executions(&self, request: &str) -> u64 {
         self.seen().executions.get(request).copied().unwrap_or(0)
     }
 
-    /// Returns how many requests ran.
+    /// Returns the number of requests executed.
     pub fn total_executions(&self) -> u64 {
         self.seen().executions.values().sum()
     }
 
-    /// Returns all bytes of heads received so far.
+    /// Returns the concatenated heads of all requests received, without load probes.
     pub fn heads(&self) -> Vec<u8> {
         self.seen().heads.clone()
     }
 
-    /// Runs the next request and closes the connection without a response.
+    /// Executes the next request, then closes its connection without a response.
     pub fn drop_next(&self) {
         self.seen().drop_next = true;
     }
 
-    /// Runs the next request and keeps its connection open without a response.
+    /// Executes the next request, then keeps its connection open without a response.
     pub fn hang_next(&self) {
         self.seen().hang_next = true;
     }
@@ -68,7 +68,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request; returns its count and what becomes of it.
+    /// Records a request; returns how often its id was executed and how the request ends.
     fn count(&self, request: &Request) -> (u64, Ending) {
         let id = request.header("x-request-id").unwrap_or_default();
         let mut seen = self.seen();
--- a/crates/testing/src/http/server.rs
+++ b/crates/testing/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The listener that all fakes share.
+//! HTTP server on which the fake upstreams are built.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use super::connection::{Connection, Request};
 
-/// What a fake does with a request.
+/// Request handling of a fake.
 pub trait Handler: Send + Sync + 'static {
     /// Handles one request; an error closes the connection.
     fn handle(
@@ -18,11 +18,11 @@
         connection: &mut Connection,
     ) -> impl Future<Output = io::Result<()>> + Send;
 
-    /// Forgets what does not survive a crash.
+    /// Clears the state that is lost in a crash; called before the server listens again.
     fn restarted(&self) {}
 }
 
-/// A server on loopback that can crash and come back.
+/// Server on loopback that a test can crash and restart.
 #[derive(Debug)]
 pub struct FakeServer<H> {
     handler: Arc<H>,
@@ -31,7 +31,7 @@
 }
 
 impl<H: Handler> FakeServer<H> {
-    /// Starts a server on a port that the system chooses.
+    /// Starts a server on a port that the operating system assigns.
     ///
     /// # Errors
     ///
@@ -47,21 +47,21 @@
         Ok(server)
     }
 
-    /// Breaks all connections and refuses new ones.
+    /// Closes all connections and the listening port.
     pub async fn crash(&self) {
         let listener = self.slot().take();
         if let Some(listener) = listener {
             listener.abort();
-            // The port is free only once the task has ended.
+            // The port is released only when the task has ended.
             let _ = listener.await;
         }
     }
 
-    /// Listens again on the same port after a crash.
+    /// Crashes the server if it is running and listens again on the same port.
     ///
     /// # Errors
     ///
-    /// Fails if the port has been taken meanwhile.
+    /// Fails if another process has bound the port in the meantime.
     pub async fn restart(&self) -> io::Result<()> {
         self.crash().await;
         self.handler.restarted();
@@ -69,23 +69,23 @@
         Ok(())
     }
 
-    /// Returns the address.
+    /// Returns the address the server listens on, also after a crash.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the handler.
+    /// Returns the fake behind the server.
     pub fn handler(&self) -> &H {
         &self.handler
     }
 
-    /// Accepts connections in a task that owns them all.
+    /// Spawns the task that accepts connections; aborting it closes all of them.
     fn listen(&self, listener: TcpListener) {
         let handler = Arc::clone(&self.handler);
         *self.slot() = Some(tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                // Small writes would otherwise wait 40 ms for the other side's acknowledgement.
+                // With Nagle's algorithm, small writes would wait 40 ms for the peer's delayed ACK.
                 let _ = stream.set_nodelay(true);
                 let handler = Arc::clone(&handler);
                 connections.spawn(serve(handler, Connection::new(stream)));
@@ -108,7 +108,7 @@
     }
 }
 
-/// Handles the requests of one connection.
+/// Handles the requests of one connection in order, until it closes or one fails.
 async fn serve<H: Handler>(handler: Arc<H>, mut connection: Connection) -> io::Result<()> {
     while let Some(request) = connection.read().await? {
         handler.handle(request, &mut connection).await?;
--- a/crates/testing/src/platform/mod.rs
+++ b/crates/testing/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform's object API over HTTP, with its faults.
+//! Fake of the platform's object API over HTTP, with injected faults.
 
 mod objects;
 mod routes;
@@ -12,22 +12,22 @@
 use rocket::{Config, Rocket, Shutdown};
 use tokio::sync::oneshot;
 
-/// A running fake of the platform.
+/// A running platform fake; it shuts down when dropped.
 #[derive(Debug)]
 pub struct Platform {
-    /// Where it listens.
+    /// Address the API listens on.
     pub address: SocketAddr,
-    /// Its objects and faults.
+    /// Stored objects, VM list and current fault.
     pub objects: Arc<Objects>,
     shutdown: Shutdown,
 }
 
 impl Platform {
-    /// Starts the platform on loopback; port 0 lets the system choose.
+    /// Starts the platform on loopback; for port 0 the operating system assigns one.
     ///
     /// # Panics
     ///
-    /// Panics if the port is taken.
+    /// Panics if the port is in use.
     pub async fn start(port: u16) -> Self {
         let objects = Arc::new(Objects::default());
         let (sender, receiver) = oneshot::channel();
@@ -48,15 +48,15 @@
             Box::pin(async move {
                 let config = rocket.config();
                 let address = SocketAddr::new(config.address, config.port);
-                // The receiver waits until the server is up.
+                // `start` waits for this message until the server listens.
                 let _ = sender.send(address);
             })
         });
         let rocket = build(config, objects.clone()).attach(liftoff);
-        let rocket = rocket.ignite().await.expect("platform fake ignites");
+        let rocket = rocket.ignite().await.expect("configure the platform fake");
         let shutdown = rocket.shutdown();
         tokio::spawn(rocket.launch());
-        let address = receiver.await.expect("platform fake binds its port");
+        let address = receiver.await.expect("bind the port of the platform fake");
         Self {
             address,
             objects,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Builds the server.
+/// Builds the HTTP server with all routes.
 fn build(config: Config, objects: Arc<Objects>) -> Rocket<rocket::Build> {
     rocket::custom(config)
         .manage(objects)
--- a/crates/testing/src/platform/objects.rs
+++ b/crates/testing/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! The objects of the platform fake.
+//! Versioned object store and fault injection of the platform fake.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,42 +7,42 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// A fault of the platform.
+/// Fault injected into the platform fake.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Works.
+    /// No fault.
     #[default]
     None,
-    /// Refuses every request.
+    /// Refuses every request with 503.
     Down,
-    /// Performs writes but answers with an error.
+    /// Performs writes but responds with 504, as if the response was lost.
     LoseAnswers,
-    /// Never answers watches, and performs everything else.
+    /// Never responds to watches; other requests succeed.
     SilentWatch,
-    /// Answers reads from the state at the time the fault was set.
+    /// Serves reads from a snapshot taken when the fault was set.
     LaggingReads,
-    /// Waits before each answer.
+    /// Delays every request.
     Slow {
-        /// The wait.
+        /// Delay before the request is handled, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// One VM in the platform's list.
+/// One entry of the platform's VM list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VmRow {
-    /// The name.
+    /// Name of the VM.
     pub vm: String,
-    /// The address as `ip:port`.
+    /// Address of its process as `ip:port`.
     pub address: String,
     /// Whether the VM is being removed.
     pub leaving: bool,
 }
 
-/// An object with its version.
+/// Version and value of an object.
 pub(super) type Versioned = (u64, Vec<u8>);
 
-/// The objects of the platform fake.
+/// State of the platform fake, shared by its routes and the test.
 #[derive(Debug)]
 pub struct Objects {
     state: Mutex<State>,
@@ -70,7 +70,7 @@
 
 /// # Control by tests
 impl Objects {
-    /// Sets the present fault.
+    /// Sets the current fault and takes the snapshot for [`Fault::LaggingReads`].
     pub fn set_fault(&self, fault: Fault) {
         let mut state = self.lock();
         state.fault = fault;
@@ -79,7 +79,7 @@
         self.notify();
     }
 
-    /// Returns the present fault.
+    /// Returns the current fault.
     pub fn fault(&self) -> Fault {
         self.lock().fault
     }
@@ -89,7 +89,7 @@
         self.lock().vms = vms;
     }
 
-    /// Returns the objects whose key starts with a prefix.
+    /// Returns key, version and value of each object whose key starts with a prefix.
     pub fn with_prefix(&self, prefix: &str) -> Vec<(String, u64, Vec<u8>)> {
         self.lock()
             .objects
@@ -99,13 +99,13 @@
             .collect()
     }
 
-    /// Puts an object back to an older state, as a restored backup would.
+    /// Overwrites an object and its version unconditionally, as restoring a backup does.
     pub fn restore(&self, key: &str, version: u64, value: Vec<u8>) {
         self.lock().objects.insert(key.to_owned(), (version, value));
         self.notify();
     }
 
-    /// Returns the number of requests so far.
+    /// Returns the number of requests received.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -113,12 +113,12 @@
 
 /// # Requests
 impl Objects {
-    /// Counts a request.
+    /// Adds one to the number of requests received.
     pub(super) fn count(&self) {
         self.calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Reads an object.
+    /// Reads an object, from the snapshot under [`Fault::LaggingReads`].
     pub(super) fn get(&self, key: &str) -> Option<Versioned> {
         let state = self.lock();
         let objects = match state.fault {
@@ -128,7 +128,9 @@
         objects.get(key).cloned()
     }
 
-    /// Writes an object; returns its present version if that is not the expected one.
+    /// Writes an object if its version is `expected` (0 for a new one); returns the new version.
+    ///
+    /// Fails with the current version if that differs.
     pub(super) fn put(&self, key: &str, value: Vec<u8>, expected: u64) -> Result<u64, u64> {
         let mut state = self.lock();
         let current = state.objects.get(key).map_or(0, |(version, _)| *version);
@@ -146,7 +148,7 @@
         self.lock().vms.clone()
     }
 
-    /// Returns a receiver that changes with each write.
+    /// Returns a receiver that is notified of each write and change of fault.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
--- a/crates/testing/src/platform/routes.rs
+++ b/crates/testing/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP routes of the platform fake.
+//! HTTP routes of the platform fake.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 use super::objects::{Fault, Objects, Versioned, VmRow};
 
-/// Largest value of an object.
+/// Maximum size of an object's value; a larger one is refused with 413.
 const MAX_VALUE_BYTES: u64 = 1_000_000;
 
 /// Returns all routes.
@@ -23,7 +23,7 @@
     routes![get_object, put_object, list_objects, list_vms]
 }
 
-/// The version that a write expects.
+/// Version that a write expects the object to have, from the header `if-version`.
 struct IfVersion(u64);
 
 #[rocket::async_trait]
@@ -39,7 +39,7 @@
     }
 }
 
-/// A value with its version in a header.
+/// Response with an object's value as body and its version in the header `version`.
 #[derive(Responder)]
 struct ObjectBody {
     value: Vec<u8>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Applies the faults that come before a request is handled.
+/// Counts a request and applies the faults that precede its handling.
 async fn enter(objects: &Objects) -> Result<(), Status> {
     objects.count();
     match objects.fault() {
@@ -88,7 +88,7 @@
     newer.map(Into::into).map_err(|_| Status::NoContent)
 }
 
-/// Waits until an object is newer than a version.
+/// Waits until the version of an object is greater than `after`.
 async fn wait_newer(objects: &Objects, key: &str, after: u64) -> Versioned {
     let mut changed = objects.subscribe();
     loop {
