--- a/crates/core/tests/combined_faults.rs
+++ b/crates/core/tests/combined_faults.rs
@@ -2,7 +2,7 @@
 
 use knapweeddale_core::{FleetConfig, Input};
 use knapweeddale_testing::mesh::Mesh;
-use knapweeddale_testing::{Random, assert_members, run_sampled, seeds};
+use knapweeddale_testing::{Random, assert_members, run_checked, seeds};
 
 /// Injects a random fault; several may be active at a time.
 fn inject(mesh: &mut Mesh, random: &mut Random) {
@@ -51,16 +51,16 @@
         for vm in 0..8 {
             mesh.set_clock_rate(vm, random.between(955_000, 1_045_000));
         }
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         for _ in 0..6 {
             for _ in 0..random.between(1, 4) {
                 inject(&mut mesh, &mut random);
-                run_sampled(&mut mesh, random.between(50, 6_000), seed);
+                run_checked(&mut mesh, random.between(50, 6_000), seed);
             }
             repair(&mut mesh);
-            run_sampled(&mut mesh, random.between(0, 9_000), seed);
+            run_checked(&mut mesh, random.between(0, 9_000), seed);
         }
-        run_sampled(&mut mesh, 60_000, seed);
+        run_checked(&mut mesh, 60_000, seed);
         assert_members(&mesh, &[0, 1, 2, 3, 4, 5, 6, 7], seed);
     }
 }
--- a/crates/core/tests/fault_mix.rs
+++ b/crates/core/tests/fault_mix.rs
@@ -55,7 +55,7 @@
         }
         Fault::Drain => {
             mesh.input(vm, knapweeddale_core::Input::Drain);
-            callers.avoid = Some(vm);
+            callers.excluded_vm = Some(vm);
         }
     }
 }
@@ -118,7 +118,7 @@
     for check in checks {
         check.unwrap_or_else(|broken| panic!("{fault:?}, seed {seed}: {broken}"));
     }
-    let stuck = callers.stuck();
+    let stuck = callers.stuck_programs();
     assert!(stuck.is_empty(), "{fault:?}, seed {seed}: {stuck:?}");
     callers.unknown_per_mille()
 }
--- a/crates/core/tests/home_crash.rs
+++ b/crates/core/tests/home_crash.rs
@@ -2,7 +2,7 @@
 //! with two homes at once.
 
 use knapweeddale_core::{Execution, RefusalKind};
-use knapweeddale_testing::callers::{Kind, call, fleet, key_of};
+use knapweeddale_testing::callers::{Kind, call, fleet, program_key};
 use knapweeddale_testing::invariants;
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use rstest::rstest;
@@ -11,7 +11,7 @@
 fn start() -> (Mesh, usize) {
     let mut mesh = Mesh::new(5, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
-    let home = mesh.home_of(0, &key_of("tour")).expect("a home");
+    let home = mesh.home_of(0, &program_key("tour")).expect("a home");
     (mesh, home)
 }
 
--- a/crates/core/tests/home_session.rs
+++ b/crates/core/tests/home_session.rs
@@ -1,7 +1,7 @@
 //! Guards against unnoticed changes of the homes' decisions, by a snapshot of one fixed session.
 
 use knapweeddale_core::ProgramRequestKind;
-use knapweeddale_testing::callers::{Kind, call, fleet, key_of, request};
+use knapweeddale_testing::callers::{Kind, call, fleet, program_key, request};
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 
 /// Returns the decisions of homes and admission as they are logged.
@@ -23,7 +23,7 @@
 fn session_with_lost_home() {
     let mut mesh = Mesh::new(3, fleet(1_000, 130), 1);
     mesh.run_ms(2_000);
-    let home = mesh.home_of(0, &key_of("tour")).expect("a home");
+    let home = mesh.home_of(0, &program_key("tour")).expect("a home");
     let entry = (home + 1) % 3;
     let first = mesh.call(entry, call(Kind::Chat, "tour", 1, 1, None, None));
     // Sent later, so that random delays do not decide which call gets which engine.
--- a/crates/core/tests/lease_expiry.rs
+++ b/crates/core/tests/lease_expiry.rs
@@ -2,19 +2,19 @@
 
 use knapweeddale_core::FleetConfig;
 use knapweeddale_testing::mesh::Mesh;
-use knapweeddale_testing::{Random, run_sampled, seeds, settled_mesh};
+use knapweeddale_testing::{Random, joined_mesh, run_checked, seeds};
 
 #[test]
 fn lease_expires_during_pause() {
     for seed in seeds() {
         for vm in 0..8 {
-            let mut mesh = settled_mesh(FleetConfig::default(), seed);
-            run_sampled(&mut mesh, 5_000, seed);
+            let mut mesh = joined_mesh(FleetConfig::default(), seed);
+            run_checked(&mut mesh, 5_000, seed);
             mesh.pause(vm, 20_000_000);
-            run_sampled(&mut mesh, 20_000, seed);
+            run_checked(&mut mesh, 20_000, seed);
             assert!(!mesh.has_lease(vm), "seed {seed}: VM {vm} kept its lease");
             // The VM resumes with old messages, learns that it was removed and joins again.
-            run_sampled(&mut mesh, 10_000, seed);
+            run_checked(&mut mesh, 10_000, seed);
             assert!(
                 mesh.has_lease(vm),
                 "seed {seed}: VM {vm} did not join again"
@@ -28,12 +28,12 @@
 #[test]
 fn short_pause_removes_no_vm() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(FleetConfig::default(), seed);
-        run_sampled(&mut mesh, 5_000, seed);
+        let mut mesh = joined_mesh(FleetConfig::default(), seed);
+        run_checked(&mut mesh, 5_000, seed);
         let epoch = mesh.tables(0).view.epoch;
         for vm in 0..8 {
             mesh.pause(vm, 1_200_000);
-            run_sampled(&mut mesh, 3_000, seed);
+            run_checked(&mut mesh, 3_000, seed);
         }
         assert_eq!(mesh.tables(0).view.epoch, epoch, "seed {seed}");
     }
@@ -53,7 +53,7 @@
             };
             mesh.set_clock_rate(vm, ppm);
         }
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         for _ in 0..6 {
             let vm = random.below(8) as usize;
             mesh.pause(vm, random.between(1_500_000, 8_000_000));
@@ -62,9 +62,9 @@
                 &[other],
                 &(0..8).filter(|vm| *vm != other).collect::<Vec<_>>(),
             );
-            run_sampled(&mut mesh, random.between(2_000, 9_000), seed);
+            run_checked(&mut mesh, random.between(2_000, 9_000), seed);
             mesh.heal();
-            run_sampled(&mut mesh, 6_000, seed);
+            run_checked(&mut mesh, 6_000, seed);
         }
     }
 }
@@ -72,13 +72,13 @@
 #[test]
 fn store_cut_off_from_writers() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(FleetConfig::default(), seed);
-        run_sampled(&mut mesh, 5_000, seed);
+        let mut mesh = joined_mesh(FleetConfig::default(), seed);
+        run_checked(&mut mesh, 5_000, seed);
         let writers = mesh.writers(0);
         // The second writer touches the view while the first one cannot reach the store.
         mesh.store.cut_off.insert(writers[0]);
         for _ in 0..300 {
-            run_sampled(&mut mesh, 100, seed);
+            run_checked(&mut mesh, 100, seed);
             for vm in 0..8 {
                 assert!(mesh.has_lease(vm), "seed {seed}: VM {vm} without lease");
             }
@@ -86,7 +86,7 @@
         // Promises of the first one must not keep the second one from writing views.
         let dead = (0..8).find(|vm| !writers.contains(vm)).expect("a member");
         mesh.crash(dead);
-        run_sampled(&mut mesh, 12_000, seed);
+        run_checked(&mut mesh, 12_000, seed);
         let members = mesh.tables(writers[1]).view.members.len();
         assert_eq!(members, 7, "seed {seed}");
     }
--- a/crates/core/tests/leaving_vm.rs
+++ b/crates/core/tests/leaving_vm.rs
@@ -2,7 +2,7 @@
 
 use knapweeddale_core::{FleetConfig, Input};
 use knapweeddale_testing::mesh::Mesh;
-use knapweeddale_testing::{invariants, run_sampled, sample_accounts, seeds};
+use knapweeddale_testing::{invariants, run_checked, sample_accounts, seeds};
 
 /// Counts the sampled accounts without an owner.
 fn count_unowned(mesh: &Mesh) -> usize {
@@ -20,11 +20,11 @@
 fn next_owner_acts_at_once() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(8, 3, FleetConfig::default(), seed);
-        run_sampled(&mut mesh, 8_000, seed);
+        run_checked(&mut mesh, 8_000, seed);
         // Writers leave as well.
         for vm in 0..8 {
             mesh.input(vm, Input::Drain);
-            run_sampled(&mut mesh, 500, seed);
+            run_checked(&mut mesh, 500, seed);
             assert!(has_left(&mesh, vm), "seed {seed}: VM {vm} has not left");
             assert!(
                 !mesh.has_lease(vm),
@@ -39,7 +39,7 @@
             assert!(!control.is_ready(mesh.local_us(vm)));
             mesh.crash(vm);
             mesh.restart(vm);
-            run_sampled(&mut mesh, 8_000, seed);
+            run_checked(&mut mesh, 8_000, seed);
             assert_eq!(
                 count_unowned(&mesh),
                 0,
@@ -53,10 +53,10 @@
 fn draining_vm_is_not_isolated() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(8, 3, FleetConfig::default(), seed);
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         mesh.input(2, Input::Drain);
         // The draining VM still serves calls that arrive, so it must not count as isolated.
-        run_sampled(&mut mesh, 20_000, seed);
+        run_checked(&mut mesh, 20_000, seed);
         let control = mesh.control(2).expect("VM runs");
         let isolated = control
             .tables()
@@ -69,10 +69,10 @@
 fn lost_notice_only_delays_takeover() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(8, 3, FleetConfig::default(), seed);
-        run_sampled(&mut mesh, 8_000, seed);
+        run_checked(&mut mesh, 8_000, seed);
         mesh.faults.lost_per_mille = 200;
         mesh.input(1, Input::Drain);
-        run_sampled(&mut mesh, 8_000, seed);
+        run_checked(&mut mesh, 8_000, seed);
         assert!(has_left(&mesh, 1), "seed {seed}");
         assert_eq!(count_unowned(&mesh), 0, "seed {seed}");
     }
@@ -82,14 +82,14 @@
 fn all_leave() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(4, 2, FleetConfig::default(), seed);
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         (0..4).for_each(|vm| mesh.input(vm, Input::Drain));
-        run_sampled(&mut mesh, 10_000, seed);
+        run_checked(&mut mesh, 10_000, seed);
         assert!((0..4).all(|vm| has_left(&mesh, vm)), "seed {seed}");
         (0..4).for_each(|vm| mesh.crash(vm));
         mesh.run_ms(1_000);
         (0..4).for_each(|vm| mesh.restart(vm));
-        run_sampled(&mut mesh, 60_000, seed);
+        run_checked(&mut mesh, 60_000, seed);
         assert!((0..4).all(|vm| mesh.has_lease(vm)), "seed {seed}");
     }
 }
--- a/crates/core/tests/memory_release.rs
+++ b/crates/core/tests/memory_release.rs
@@ -2,7 +2,7 @@
 //! late release that hits a new program of the same name.
 
 use knapweeddale_core::{ProgramRequestKind, UpstreamName};
-use knapweeddale_testing::callers::{Kind, call, fleet, key_of, request};
+use knapweeddale_testing::callers::{Kind, call, fleet, program_key, request};
 use knapweeddale_testing::invariants;
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 
@@ -10,7 +10,7 @@
 fn run_one_turn() -> (Mesh, usize) {
     let mut mesh = Mesh::new(3, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
-    let home = mesh.home_of(0, &key_of("tour")).expect("a home");
+    let home = mesh.home_of(0, &program_key("tour")).expect("a home");
     mesh.call((home + 1) % 3, call(Kind::Chat, "tour", 1, 1, None, None));
     mesh.run_ms(1_000);
     (mesh, home)
@@ -25,7 +25,12 @@
 fn expired_program_is_released() {
     let (mut mesh, home) = run_one_turn();
     mesh.run_ms(601_000);
-    assert!(!mesh.tables(home).programs.contains_key(&key_of("tour")));
+    assert!(
+        !mesh
+            .tables(home)
+            .programs
+            .contains_key(&program_key("tour"))
+    );
     assert_eq!(count_unconfirmed(&mesh, home), 0);
     invariants::memory_released(&mesh).expect("memory");
 }
@@ -67,7 +72,7 @@
 fn memory_is_released_after_entry_vm_crash() {
     let mut mesh = Mesh::new(5, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
-    let home = mesh.home_of(0, &key_of("tour")).expect("a home");
+    let home = mesh.home_of(0, &program_key("tour")).expect("a home");
     let entry = (home + 1) % 5;
     mesh.call(entry, call(Kind::Chat, "tour", 1, 1, None, None));
     mesh.run_ms(50);
@@ -96,14 +101,14 @@
             if Some(*released) == generation)
     };
     assert!(!mesh.trace.events.iter().any(|(_, event)| is_late(event)));
-    let row = mesh.tables(home).programs.get(&key_of("tour"));
+    let row = mesh.tables(home).programs.get(&program_key("tour"));
     assert_eq!(row.map(|row| row.generation), generation);
 }
 
 #[test]
 fn program_row_stays_small() {
     let (mesh, home) = run_one_turn();
-    let row = mesh.tables(home).programs.get(&key_of("tour"));
+    let row = mesh.tables(home).programs.get(&program_key("tour"));
     let mut row = row.expect("a row").clone();
     assert!(row.row_bytes() < 512, "{} bytes", row.row_bytes());
     let pool = row.unknown_pools.first().cloned();
--- a/crates/core/tests/program_budget.rs
+++ b/crates/core/tests/program_budget.rs
@@ -2,7 +2,7 @@
 //! sub-agents that outlive their root.
 
 use knapweeddale_core::{ProgramRequestKind, RefusalKind};
-use knapweeddale_testing::callers::{Callers, Kind, call, fleet, key_of, request};
+use knapweeddale_testing::callers::{Callers, Kind, call, fleet, program_key, request};
 use knapweeddale_testing::invariants;
 use knapweeddale_testing::mesh::Mesh;
 use rstest::rstest;
@@ -20,7 +20,7 @@
         mesh.faults.doubled_per_mille = 50;
         callers.run_ms(&mut mesh, 20_000);
         invariants::budget_holds(&mesh.trace, &fleet).expect("budget");
-        let refused = callers.refused.keys();
+        let refused = callers.refusals.keys();
         let over = refused.filter(|(kind, _)| *kind == RefusalKind::OverBudget);
         assert!(over.count() > 0, "no call was refused over budget");
     }
@@ -62,8 +62,8 @@
     assert_eq!(refusal.kind, RefusalKind::ProgramEnded);
     for vm in 0..3 {
         let programs = &mesh.tables(vm).programs;
-        assert!(!programs.contains_key(&key_of("tour")));
-        assert!(!programs.contains_key(&key_of("tour/hall")));
+        assert!(!programs.contains_key(&program_key("tour")));
+        assert!(!programs.contains_key(&program_key("tour/hall")));
     }
     invariants::memory_released(&mesh).expect("memory of both is released");
 }
--- a/crates/core/tests/rate_outage.rs
+++ b/crates/core/tests/rate_outage.rs
@@ -18,5 +18,9 @@
         totals.add(seed, &scenario.finish());
     }
     totals.print("store down for 30 minutes");
-    assert!(totals.wrongful_part() < 0.01, "{}", totals.wrongful_part());
+    assert!(
+        totals.wrongful_ratio() < 0.01,
+        "{}",
+        totals.wrongful_ratio()
+    );
 }
--- a/crates/core/tests/rate_shares.rs
+++ b/crates/core/tests/rate_shares.rs
@@ -15,7 +15,7 @@
         totals.add(seed, &scenario.finish());
     }
     totals.print("no faults");
-    assert_eq!(totals.wrongful_part(), 0.0);
+    assert_eq!(totals.wrongful_ratio(), 0.0);
     assert!(totals.worst_share >= 0.99);
 }
 
--- a/crates/core/tests/small_bursts.rs
+++ b/crates/core/tests/small_bursts.rs
@@ -25,7 +25,7 @@
         load::drive(&mut mesh, &loads, &mut Random::new(!seed), 30_000);
         mesh.run_ms(3_000);
         invariants::rate_and_burst(&mesh.trace, &fleet).expect("rate");
-        let served = measures::served(&mesh.trace, &fleet);
+        let served = measures::compare_accounts(&mesh.trace, &fleet);
         let served = served[&AccountName::from("aller")];
         assert_eq!(served.wrongly_refused, 0, "seed {seed}: {served:?}");
         assert!(served.share() >= 0.99, "seed {seed}: {served:?}");
--- a/crates/core/tests/stale_continuation.rs
+++ b/crates/core/tests/stale_continuation.rs
@@ -2,7 +2,7 @@
 
 use knapweeddale_core::input::Continuation;
 use knapweeddale_core::{CallId, HistoryDigest, ProgramRequestKind, RefusalKind};
-use knapweeddale_testing::callers::{Kind, call, fleet, key_of, request};
+use knapweeddale_testing::callers::{Kind, call, fleet, program_key, request};
 use knapweeddale_testing::invariants;
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use rstest::rstest;
@@ -11,7 +11,7 @@
 fn run_two_turns() -> (Mesh, usize, [Continuation; 2]) {
     let mut mesh = Mesh::new(5, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
-    let home = mesh.home_of(0, &key_of("tour")).expect("a home");
+    let home = mesh.home_of(0, &program_key("tour")).expect("a home");
     let entry = (home + 1) % 5;
     let state_of = |mesh: &mut Mesh, turn: u32, state: Option<&Continuation>| {
         let content = u64::from(turn);
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -4,7 +4,7 @@
 use knapweeddale_core::tables::StoreRequestKind;
 use knapweeddale_core::{Decision, FleetConfig, Revision};
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
-use knapweeddale_testing::{invariants, run_sampled, sample_accounts, seeds, settled_mesh};
+use knapweeddale_testing::{invariants, joined_mesh, run_checked, sample_accounts, seeds};
 
 fn fleet() -> FleetConfig {
     FleetConfig {
@@ -16,7 +16,7 @@
 #[test]
 fn leases_last_for_30_minutes() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(fleet(), seed);
+        let mut mesh = joined_mesh(fleet(), seed);
         mesh.store.is_down = true;
         mesh.store.requests = 0;
         let minutes = 30;
@@ -37,7 +37,7 @@
         mesh.store.requests = 0;
         for _ in 0..200 {
             let before = mesh.store.requests;
-            run_sampled(&mut mesh, 100, seed);
+            run_checked(&mut mesh, 100, seed);
             // Each writer may lose an update, read and update again.
             let burst = mesh.store.requests - before;
             assert!(burst <= 6, "seed {seed}: {burst} requests in 100 ms");
@@ -49,7 +49,7 @@
             "seed {seed}: {requests} requests on return"
         );
         mesh.crash(5);
-        run_sampled(&mut mesh, 8_000, seed);
+        run_checked(&mut mesh, 8_000, seed);
         assert_eq!(mesh.tables(0).view.members.len(), 7, "seed {seed}");
     }
 }
@@ -57,19 +57,19 @@
 #[test]
 fn no_vm_is_removed_during_outage() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(fleet(), seed);
+        let mut mesh = joined_mesh(fleet(), seed);
         let writers = mesh.writers(0);
         let dead = (0..8).find(|vm| !writers.contains(vm)).expect("a member");
         mesh.store.is_down = true;
-        run_sampled(&mut mesh, 10_000, seed);
+        run_checked(&mut mesh, 10_000, seed);
         mesh.crash(dead);
-        run_sampled(&mut mesh, 30_000, seed);
+        run_checked(&mut mesh, 30_000, seed);
         for vm in (0..8).filter(|vm| *vm != dead) {
             assert_eq!(mesh.tables(vm).view.members.len(), 8, "seed {seed}");
             assert!(mesh.has_lease(vm), "seed {seed}: VM {vm} without lease");
         }
         mesh.store.is_down = false;
-        run_sampled(&mut mesh, 20_000, seed);
+        run_checked(&mut mesh, 20_000, seed);
         let alive = writers[0];
         assert_eq!(mesh.tables(alive).view.members.len(), 7, "seed {seed}");
     }
@@ -79,14 +79,14 @@
 fn removal_pending_as_outage_begins() {
     for seed in seeds() {
         for delay_ms in [1_700, 2_000, 2_200, 2_400] {
-            let mut mesh = settled_mesh(fleet(), seed);
+            let mut mesh = joined_mesh(fleet(), seed);
             let writers = mesh.writers(0);
             let dead = (0..8).find(|vm| !writers.contains(vm)).expect("a member");
             mesh.crash(dead);
             mesh.run_ms(delay_ms);
             mesh.store.is_down = true;
             for _ in 0..200 {
-                run_sampled(&mut mesh, 100, seed);
+                run_checked(&mut mesh, 100, seed);
                 for vm in (0..8).filter(|vm| *vm != dead) {
                     assert!(mesh.has_lease(vm), "seed {seed}, {delay_ms} ms: VM {vm}");
                 }
@@ -98,23 +98,23 @@
 #[test]
 fn writers_crash_during_outage() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(fleet(), seed);
+        let mut mesh = joined_mesh(fleet(), seed);
         let writers = mesh.writers(0);
         mesh.store.is_down = true;
-        run_sampled(&mut mesh, 10_000, seed);
+        run_checked(&mut mesh, 10_000, seed);
         writers.iter().for_each(|&vm| mesh.crash(vm));
-        run_sampled(&mut mesh, 4_000, seed);
+        run_checked(&mut mesh, 4_000, seed);
         // The open case of section 5: without promises of all writers no VM may have a lease.
         for _ in 0..600 {
-            run_sampled(&mut mesh, 100, seed);
+            run_checked(&mut mesh, 100, seed);
             assert!((0..8).all(|vm| !mesh.has_lease(vm)), "seed {seed}");
         }
         mesh.store.requests = 0;
-        run_sampled(&mut mesh, 60_000, seed);
+        run_checked(&mut mesh, 60_000, seed);
         // Six VMs that read with pauses of 5 s to 10 s.
         assert!(mesh.store.requests <= 6 * 13, "seed {seed}");
         mesh.store.is_down = false;
-        run_sampled(&mut mesh, 40_000, seed);
+        run_checked(&mut mesh, 40_000, seed);
         for vm in (0..8).filter(|vm| !writers.contains(vm)) {
             assert!(mesh.has_lease(vm), "seed {seed}: VM {vm} without lease");
             assert_eq!(mesh.tables(vm).view.members.len(), 6, "seed {seed}");
@@ -125,9 +125,9 @@
 #[test]
 fn restarted_vm_learns_from_peers() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(fleet(), seed);
+        let mut mesh = joined_mesh(fleet(), seed);
         mesh.store.is_down = true;
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         mesh.crash(4);
         mesh.run_ms(500);
         mesh.restart(4);
@@ -136,7 +136,7 @@
             !control.is_ready(mesh.local_us(4)),
             "ready without a configuration"
         );
-        run_sampled(&mut mesh, 2_000, seed);
+        run_checked(&mut mesh, 2_000, seed);
         let tables = mesh.tables(4);
         assert_eq!(tables.fleet.revision, Revision(7), "seed {seed}");
         assert_eq!(tables.view.epoch, mesh.tables(0).view.epoch, "seed {seed}");
@@ -147,7 +147,7 @@
             "seed {seed}: lease of the former incarnation"
         );
         mesh.store.is_down = false;
-        run_sampled(&mut mesh, 20_000, seed);
+        run_checked(&mut mesh, 20_000, seed);
         assert!(mesh.has_lease(4), "seed {seed}: not a member again");
     }
 }
@@ -155,13 +155,13 @@
 #[test]
 fn restarted_writer_makes_no_promise() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(fleet(), seed);
+        let mut mesh = joined_mesh(fleet(), seed);
         let writer = mesh.writers(0)[1];
         mesh.store.is_down = true;
-        run_sampled(&mut mesh, 10_000, seed);
+        run_checked(&mut mesh, 10_000, seed);
         mesh.crash(writer);
         mesh.restart(writer);
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         for vm in 0..8 {
             assert!(!mesh.has_lease(vm), "seed {seed}: VM {vm} has a lease");
         }
@@ -182,17 +182,17 @@
         let mut mesh = Mesh::with_domains(8, 3, fleet(), seed);
         mesh.store.lost_answers_per_mille = 200;
         mesh.store.late_per_mille = 100;
-        run_sampled(&mut mesh, 20_000, seed);
+        run_checked(&mut mesh, 20_000, seed);
         for round in 0..4 {
             let vm = (seed as usize + round * 3) % 8;
             mesh.crash(vm);
-            run_sampled(&mut mesh, 20_000, seed);
+            run_checked(&mut mesh, 20_000, seed);
             mesh.restart(vm);
-            run_sampled(&mut mesh, 20_000, seed);
+            run_checked(&mut mesh, 20_000, seed);
         }
         mesh.store.lost_answers_per_mille = 0;
         mesh.store.late_per_mille = 0;
-        run_sampled(&mut mesh, 20_000, seed);
+        run_checked(&mut mesh, 20_000, seed);
         for vm in 0..8 {
             assert!(mesh.has_lease(vm), "seed {seed}: VM {vm} without lease");
             assert_eq!(mesh.tables(vm).view.members.len(), 8, "seed {seed}");
@@ -203,13 +203,13 @@
 #[test]
 fn no_write_before_promise_expires() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(fleet(), seed);
+        let mut mesh = joined_mesh(fleet(), seed);
         let writers = mesh.writers(0);
         let dead = (0..8).find(|vm| !writers.contains(vm)).expect("a member");
         mesh.store.is_down = true;
-        run_sampled(&mut mesh, 6_000, seed);
+        run_checked(&mut mesh, 6_000, seed);
         mesh.crash(dead);
-        run_sampled(&mut mesh, 8_000, seed);
+        run_checked(&mut mesh, 8_000, seed);
         mesh.store.is_down = false;
         let mut writes = 0;
         for _ in 0..20_000 {
@@ -225,14 +225,14 @@
             }
         }
         assert!(writes > 0, "seed {seed}: no view written");
-        run_sampled(&mut mesh, 8_000, seed);
+        run_checked(&mut mesh, 8_000, seed);
     }
 }
 
 #[test]
 fn unanswered_write_prevents_promises() {
     for seed in seeds() {
-        let mut mesh = settled_mesh(fleet(), seed);
+        let mut mesh = joined_mesh(fleet(), seed);
         let writers = mesh.writers(0);
         let dead = (0..8).find(|vm| !writers.contains(vm)).expect("a member");
         let epoch = mesh.tables(writers[0]).view.epoch;
@@ -253,13 +253,13 @@
         assert_eq!(known, epoch, "seed {seed}: the answer was not lost");
         mesh.store.is_down = true;
         mesh.store.lost_answers_per_mille = 0;
-        run_sampled(&mut mesh, 4_000, seed);
+        run_checked(&mut mesh, 4_000, seed);
         for _ in 0..200 {
-            run_sampled(&mut mesh, 100, seed);
+            run_checked(&mut mesh, 100, seed);
             assert!((0..8).all(|vm| !mesh.has_lease(vm)), "seed {seed}");
         }
         mesh.store.is_down = false;
-        run_sampled(&mut mesh, 20_000, seed);
+        run_checked(&mut mesh, 20_000, seed);
         for vm in (0..8).filter(|vm| *vm != dead) {
             assert!(mesh.has_lease(vm), "seed {seed}: VM {vm} without lease");
             assert!(mesh.tables(vm).view.epoch > epoch, "seed {seed}: VM {vm}");
--- a/crates/core/tests/used_permit.rs
+++ b/crates/core/tests/used_permit.rs
@@ -3,7 +3,7 @@
 
 use knapweeddale_core::input::{Continuation, Permit};
 use knapweeddale_core::{CallId, Execution, ProgramRequestKind, RefusalKind};
-use knapweeddale_testing::callers::{Kind, call, fleet, key_of, request};
+use knapweeddale_testing::callers::{Kind, call, fleet, program_key, request};
 use knapweeddale_testing::invariants;
 use knapweeddale_testing::mesh::{Mesh, TraceEvent};
 use rstest::rstest;
@@ -20,7 +20,7 @@
 fn start() -> Session {
     let mut mesh = Mesh::new(5, fleet(100_000, 130), 1);
     mesh.run_ms(2_000);
-    let home = mesh.home_of(0, &key_of("tour")).expect("a home");
+    let home = mesh.home_of(0, &program_key("tour")).expect("a home");
     let first = mesh.call((home + 1) % 5, call(Kind::Chat, "tour", 1, 1, None, None));
     mesh.run_ms(1_000);
     let answered = mesh.trace.answer(first).expect("turn 1").clone();
--- a/crates/core/tests/view_change.rs
+++ b/crates/core/tests/view_change.rs
@@ -2,7 +2,7 @@
 
 use knapweeddale_core::FleetConfig;
 use knapweeddale_testing::mesh::Mesh;
-use knapweeddale_testing::{assert_members, invariants, run_sampled, sample_accounts, seeds};
+use knapweeddale_testing::{assert_members, invariants, run_checked, sample_accounts, seeds};
 
 fn mesh(vms: usize, seed: u64) -> Mesh {
     Mesh::with_domains(vms, 3, FleetConfig::default(), seed)
@@ -25,7 +25,7 @@
 fn all_join() {
     for seed in seeds() {
         let mut mesh = mesh(8, seed);
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         assert_members(&mesh, &all_but(8, &[]), seed);
         assert_owned(&mesh, seed);
     }
@@ -51,12 +51,12 @@
     for seed in seeds() {
         for dead in 0..8 {
             let mut mesh = mesh(8, seed);
-            run_sampled(&mut mesh, 5_000, seed);
+            run_checked(&mut mesh, 5_000, seed);
             mesh.crash(dead);
             // Suspicion, one round of reports and the write, then the takeover wait.
-            run_sampled(&mut mesh, 3_500, seed);
+            run_checked(&mut mesh, 3_500, seed);
             assert_members(&mesh, &all_but(8, &[dead]), seed);
-            run_sampled(&mut mesh, 3_500, seed);
+            run_checked(&mut mesh, 3_500, seed);
             assert_owned(&mesh, seed);
         }
     }
@@ -66,17 +66,17 @@
 fn both_writers_die() {
     for seed in seeds() {
         let mut mesh = mesh(8, seed);
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         let writers = mesh.writers(0);
         for &vm in &writers {
             mesh.crash(vm);
         }
         // The platform's list of VMs lags by 10 s; leases end before that.
-        run_sampled(&mut mesh, 8_000, seed);
+        run_checked(&mut mesh, 8_000, seed);
         for vm in all_but(8, &writers) {
             assert!(!mesh.has_lease(vm), "seed {seed}: lease without a writer");
         }
-        run_sampled(&mut mesh, 15_000, seed);
+        run_checked(&mut mesh, 15_000, seed);
         assert_members(&mesh, &all_but(8, &writers), seed);
         assert_owned(&mesh, seed);
     }
@@ -86,13 +86,13 @@
 fn restarted_vm_is_new_member() {
     for seed in seeds() {
         let mut mesh = mesh(8, seed);
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         for vm in 0..8 {
             mesh.crash(vm);
             mesh.run_ms(300);
             let epoch = mesh.tables((vm + 1) % 8).view.epoch;
             mesh.restart(vm);
-            run_sampled(&mut mesh, 8_000, seed);
+            run_checked(&mut mesh, 8_000, seed);
             assert_members(&mesh, &all_but(8, &[]), seed);
             let name = mesh.tables(vm).view.members[vm].vm.clone();
             let member = mesh.tables(vm).view.member(&name).expect("is a member");
@@ -109,11 +109,11 @@
 fn whole_fleet_restarts() {
     for seed in seeds() {
         let mut mesh = mesh(8, seed);
-        run_sampled(&mut mesh, 5_000, seed);
+        run_checked(&mut mesh, 5_000, seed);
         (0..8).for_each(|vm| mesh.crash(vm));
         mesh.run_ms(1_000);
         (0..8).for_each(|vm| mesh.restart(vm));
-        run_sampled(&mut mesh, 60_000, seed);
+        run_checked(&mut mesh, 60_000, seed);
         assert_members(&mesh, &all_but(8, &[]), seed);
         assert_owned(&mesh, seed);
     }
@@ -127,13 +127,13 @@
         mesh.faults.doubled_per_mille = 50;
         mesh.faults.max_delay_us = 50_000;
         mesh.store.lost_answers_per_mille = 50;
-        run_sampled(&mut mesh, 10_000, seed);
+        run_checked(&mut mesh, 10_000, seed);
         assert_members(&mesh, &all_but(8, &[]), seed);
         mesh.crash(2);
-        run_sampled(&mut mesh, 30_000, seed);
+        run_checked(&mut mesh, 30_000, seed);
         assert_members(&mesh, &all_but(8, &[2]), seed);
         mesh.restart(2);
-        run_sampled(&mut mesh, 30_000, seed);
+        run_checked(&mut mesh, 30_000, seed);
         assert_members(&mesh, &all_but(8, &[]), seed);
     }
 }
@@ -142,12 +142,12 @@
 fn large_fleet_keeps_leases() {
     for seed in seeds() {
         let mut mesh = mesh(40, seed);
-        run_sampled(&mut mesh, 10_000, seed);
+        run_checked(&mut mesh, 10_000, seed);
         assert_members(&mesh, &all_but(40, &[]), seed);
         let writers = mesh.writers(0);
         let dead: Vec<usize> = (0..40).filter(|vm| vm % 3 == 1).collect();
         dead.iter().for_each(|&vm| mesh.crash(vm));
-        run_sampled(&mut mesh, 30_000, seed);
+        run_checked(&mut mesh, 30_000, seed);
         assert!(writers.iter().any(|vm| !dead.contains(vm)));
         assert_members(&mesh, &all_but(40, &dead), seed);
         for _ in 0..50 {
@@ -163,7 +163,7 @@
 fn list_older_than_restart() {
     for seed in seeds() {
         let mut mesh = mesh(40, seed);
-        run_sampled(&mut mesh, 10_000, seed);
+        run_checked(&mut mesh, 10_000, seed);
         let writers = mesh.tables(0).view.writers.clone();
         let is_watched_by_writer = |vm: &usize| {
             let peers = &mesh.tables(*vm).membership.peers;
@@ -175,10 +175,10 @@
             .expect("a member");
         let epoch = mesh.tables(39).view.epoch.0;
         mesh.crash(vm);
-        run_sampled(&mut mesh, 9_000, seed);
+        run_checked(&mut mesh, 9_000, seed);
         mesh.restart(vm);
         // The list without the VM arrives while it is a member again.
-        run_sampled(&mut mesh, 15_000, seed);
+        run_checked(&mut mesh, 15_000, seed);
         assert_members(&mesh, &all_but(40, &[]), seed);
         let views = mesh.tables(39).view.epoch.0 - epoch;
         assert_eq!(views, 2, "seed {seed}: one removal and one join");
--- a/crates/core/tests/vm_crash.rs
+++ b/crates/core/tests/vm_crash.rs
@@ -20,7 +20,11 @@
         totals.add(seed, &scenario.finish());
     }
     totals.print("one VM lost");
-    assert!(totals.wrongful_part() < 0.001, "{}", totals.wrongful_part());
+    assert!(
+        totals.wrongful_ratio() < 0.001,
+        "{}",
+        totals.wrongful_ratio()
+    );
 }
 
 #[test]
--- a/crates/report/src/policy/program.rs
+++ b/crates/report/src/policy/program.rs
@@ -54,7 +54,7 @@
                 break;
             }
             // Each program has its own generator, so that the load changes only the arrivals.
-            let mut own = Random::new(random.bits());
+            let mut own = Random::new(random.next_u64());
             arrivals.push((at_us as u64, Plan::new(&mut own)));
         }
         Self {
--- a/crates/testing/examples/demo.rs
+++ b/crates/testing/examples/demo.rs
@@ -42,7 +42,7 @@
     )?;
     let daemon = Daemon::start(settings, SECRET, api()?, MonotonicClock::start()).await?;
     daemon.wait_until_ready().await;
-    print_lines(&format!("http://{}", daemon.address()));
+    print_commands(&format!("http://{}", daemon.address()));
     tokio::signal::ctrl_c().await?;
     daemon.stop().await;
     Ok(())
@@ -77,7 +77,7 @@
 }
 
 /// Prints the commands to paste into another terminal.
-fn print_lines(url: &str) {
+fn print_commands(url: &str) {
     println!(
         r#"
 The VM is ready. Paste these lines into another terminal; docs/api.md has more.
--- a/crates/testing/src/callers.rs
+++ b/crates/testing/src/callers.rs
@@ -14,10 +14,10 @@
 use crate::mesh::{Mesh, TraceEvent};
 
 /// Time without a response after which a caller abandons a call and retries it.
-const SILENT_US: u64 = 25_000_000;
+const RESPONSE_TIMEOUT_US: u64 = 25_000_000;
 
 /// Time until a caller abandons a call whose VM has crashed or restarted.
-const BROKEN_US: u64 = 200_000;
+const CRASH_DETECTION_US: u64 = 200_000;
 
 /// Name of the client account that all callers share.
 pub const ACCOUNT: &str = "norte";
@@ -81,7 +81,7 @@
 }
 
 /// Returns the key of a program of [`ACCOUNT`].
-pub fn key_of(program: &str) -> ProgramKey {
+pub fn program_key(program: &str) -> ProgramKey {
     ProgramKey {
         account: AccountName::from(ACCOUNT),
         name: ProgramName::from(program),
@@ -175,9 +175,9 @@
     kind: Kind,
     content: u64,
     sends: u32,
-    open: Vec<(CallId, usize, u64)>,
+    open_calls: Vec<(CallId, usize, u64)>,
     wait_until_us: u64,
-    end: Option<Result<(), RefusalKind>>,
+    outcome: Option<Result<(), RefusalKind>>,
 }
 
 /// Simulated callers, each of which runs one program turn by turn.
@@ -190,17 +190,17 @@
 pub struct Callers {
     agents: Vec<Agent>,
     by_call: HashMap<CallId, usize>,
-    seen: usize,
+    handled_events: usize,
     turns: u32,
     random: Random,
     /// VM that callers send no calls to, as if the load balancer excluded it.
-    pub avoid: Option<usize>,
+    pub excluded_vm: Option<usize>,
     /// Share of calls, per mille, that are sent twice at the same time.
-    pub doubled_per_mille: u64,
+    pub duplicated_per_mille: u64,
     /// Number of refusals by kind and by whether the call ran.
-    pub refused: BTreeMap<(RefusalKind, String), u64>,
+    pub refusals: BTreeMap<(RefusalKind, String), u64>,
     /// Number of turns completed with a response that carries a continuation.
-    pub answered: u64,
+    pub responses: u64,
     /// Number of calls sent, including retries and duplicates.
     pub sent: u64,
 }
@@ -220,23 +220,23 @@
                 continuation: None,
                 permit: None,
                 kind: Kind::Chat,
-                content: random.bits(),
+                content: random.next_u64(),
                 sends: 0,
-                open: Vec::new(),
+                open_calls: Vec::new(),
                 wait_until_us: random.below(2_000_000),
-                end: None,
+                outcome: None,
             })
             .collect();
         Self {
             agents,
             by_call: HashMap::new(),
-            seen: 0,
+            handled_events: 0,
             turns,
             random,
-            avoid: None,
-            doubled_per_mille: 20,
-            refused: BTreeMap::new(),
-            answered: 0,
+            excluded_vm: None,
+            duplicated_per_mille: 20,
+            refusals: BTreeMap::new(),
+            responses: 0,
             sent: 0,
         }
     }
@@ -251,11 +251,11 @@
 
     /// Returns the state of each program that neither completed nor was refused as over budget
     /// or ended.
-    pub fn stuck(&self) -> Vec<String> {
+    pub fn stuck_programs(&self) -> Vec<String> {
         let is_over = |kind: &RefusalKind| {
             matches!(kind, RefusalKind::OverBudget | RefusalKind::ProgramEnded)
         };
-        let stuck = self.agents.iter().filter(|agent| match &agent.end {
+        let stuck = self.agents.iter().filter(|agent| match &agent.outcome {
             Some(Ok(())) => false,
             Some(Err(kind)) => !is_over(kind),
             None => true,
@@ -266,32 +266,34 @@
     /// Returns the share of sent calls, per mille, that were refused as `may_have_run`.
     pub fn unknown_per_mille(&self) -> f64 {
         let is_unknown = |ran: &str| ran == Execution::MayHaveRun.to_string();
-        let unknown = self.refused.iter().filter(|((_, ran), _)| is_unknown(ran));
+        let unknown = self.refusals.iter().filter(|((_, ran), _)| is_unknown(ran));
         let unknown: u64 = unknown.map(|(_, count)| count).sum();
         1_000.0 * unknown as f64 / self.sent.max(1) as f64
     }
 
     /// Handles new trace events and sends the calls that are due.
     fn step(&mut self, mesh: &mut Mesh) {
-        while let Some((_, event)) = mesh.trace.events.get(self.seen) {
-            self.seen += 1;
-            self.take(mesh.now_us(), event.clone());
+        while let Some((_, event)) = mesh.trace.events.get(self.handled_events) {
+            self.handled_events += 1;
+            self.handle_event(mesh.now_us(), event.clone());
         }
-        for at in 0..self.agents.len() {
-            self.drop_broken(mesh, at);
-            let agent = &self.agents[at];
-            if agent.end.is_none() && agent.open.is_empty() && agent.wait_until_us <= mesh.now_us()
+        for index in 0..self.agents.len() {
+            self.abandon_failed_calls(mesh, index);
+            let agent = &self.agents[index];
+            if agent.outcome.is_none()
+                && agent.open_calls.is_empty()
+                && agent.wait_until_us <= mesh.now_us()
             {
-                self.send(mesh, at);
+                self.send(mesh, index);
             }
         }
     }
 
     /// Updates the caller that a trace event concerns.
-    fn take(&mut self, now_us: u64, event: TraceEvent) {
+    fn handle_event(&mut self, now_us: u64, event: TraceEvent) {
         match event {
             TraceEvent::Answered(answered) => {
-                self.answered(
+                self.handle_response(
                     now_us,
                     answered.call,
                     answered.continuation,
@@ -303,27 +305,27 @@
                 continuation,
                 permit,
                 ..
-            } => self.answered(
+            } => self.handle_response(
                 now_us,
                 call,
                 Some(*continuation),
                 permit.map(|permit| *permit),
             ),
             TraceEvent::PermitIssued { request, permit } => {
-                if let Some(at) = self.close(request) {
-                    self.agents[at].permit = Some(*permit);
+                if let Some(index) = self.close_call(request) {
+                    self.agents[index].permit = Some(*permit);
                 }
             }
             TraceEvent::ProgramEnded { request } => {
-                if let Some(at) = self.close(request) {
-                    self.agents[at].end = Some(Ok(()));
+                if let Some(index) = self.close_call(request) {
+                    self.agents[index].outcome = Some(Ok(()));
                 }
             }
             TraceEvent::Refused(refusal) => {
                 let key = (refusal.kind, refusal.ran.to_string());
-                *self.refused.entry(key).or_default() += 1;
-                if let Some(at) = self.close(refusal.call) {
-                    self.refused(now_us, at, refusal.kind, refusal.ran);
+                *self.refusals.entry(key).or_default() += 1;
+                if let Some(index) = self.close_call(refusal.call) {
+                    self.handle_refusal(now_us, index, refusal.kind, refusal.ran);
                 }
             }
             _ => {}
@@ -333,33 +335,33 @@
     /// Removes a call from the open calls of its caller and returns the caller's index.
     ///
     /// Returns `None` if the call is not open.
-    fn close(&mut self, call: CallId) -> Option<usize> {
-        let at = *self.by_call.get(&call)?;
-        let open = &mut self.agents[at].open;
+    fn close_call(&mut self, call: CallId) -> Option<usize> {
+        let index = *self.by_call.get(&call)?;
+        let open = &mut self.agents[index].open_calls;
         let before = open.len();
         open.retain(|(id, ..)| *id != call);
-        (open.len() < before).then_some(at)
+        (open.len() < before).then_some(index)
     }
 
     /// Advances a caller to its next turn after a response with a continuation.
-    fn answered(
+    fn handle_response(
         &mut self,
         now_us: u64,
         call: CallId,
         continuation: Option<Continuation>,
         permit: Option<Permit>,
     ) {
-        let Some(at) = self.close(call) else {
+        let Some(index) = self.close_call(call) else {
             return;
         };
-        let (agent, random) = (&mut self.agents[at], &mut self.random);
+        let (agent, random) = (&mut self.agents[index], &mut self.random);
         let Some(continuation) = continuation else {
             // The home did not confirm the turn in time; a retry returns the continuation.
             agent.wait_until_us = now_us + 500_000;
             return;
         };
-        self.answered += 1;
-        agent.open.clear();
+        self.responses += 1;
+        agent.open_calls.clear();
         agent.turn = continuation.turn + 1;
         agent.continuation = Some(continuation);
         agent.permit = permit;
@@ -368,16 +370,16 @@
             6..9 => Kind::Send,
             _ => Kind::Status,
         };
-        agent.content = random.bits();
+        agent.content = random.next_u64();
         agent.sends = 0;
         agent.wait_until_us = now_us + random.below(400_000);
     }
 
     /// Decides how to continue after a refusal, unless another copy of the call is open.
-    fn refused(&mut self, now_us: u64, at: usize, kind: RefusalKind, ran: Execution) {
-        let agent = &mut self.agents[at];
+    fn handle_refusal(&mut self, now_us: u64, index: usize, kind: RefusalKind, ran: Execution) {
+        let agent = &mut self.agents[index];
         agent.wait_until_us = now_us + 300_000;
-        if !agent.open.is_empty() {
+        if !agent.open_calls.is_empty() {
             return;
         }
         match kind {
@@ -385,7 +387,7 @@
             | RefusalKind::ProgramEnded
             | RefusalKind::StaleContinuation
             | RefusalKind::HistoryMismatch
-            | RefusalKind::ContinuationMissing => agent.end = Some(Err(kind)),
+            | RefusalKind::ContinuationMissing => agent.outcome = Some(Err(kind)),
             // A request that was sent only once, or that did not run, can get a new permit.
             // With no sends, the permit request itself was refused, so the outcome of the turn is
             // unknown.
@@ -395,39 +397,43 @@
             }
             _ if agent.kind == Kind::Send && ran != Execution::NotRun => {
                 agent.kind = Kind::Status;
-                agent.content = self.random.bits();
+                agent.content = self.random.next_u64();
             }
             _ => {}
         }
     }
 
     /// Abandons calls whose VM has crashed or restarted, or that got no response in time.
-    fn drop_broken(&mut self, mesh: &Mesh, at: usize) {
+    fn abandon_failed_calls(&mut self, mesh: &Mesh, index: usize) {
         let now_us = mesh.now_us();
-        self.agents[at].open.retain(|(call, vm, sent_us)| {
+        self.agents[index].open_calls.retain(|(call, vm, sent_us)| {
             let is_down = mesh.control(*vm).is_none() || mesh.incarnation(*vm) != call.incarnation;
-            let limit_us = if is_down { BROKEN_US } else { SILENT_US };
+            let limit_us = if is_down {
+                CRASH_DETECTION_US
+            } else {
+                RESPONSE_TIMEOUT_US
+            };
             now_us < sent_us + limit_us
         });
     }
 
     /// Sends the next call of a caller, or the permit or end request that is due instead.
-    fn send(&mut self, mesh: &mut Mesh, at: usize) {
-        let Some(vm) = self.pick(mesh) else {
+    fn send(&mut self, mesh: &mut Mesh, index: usize) {
+        let Some(vm) = self.choose_vm(mesh) else {
             return;
         };
-        let agent = &self.agents[at];
-        let carried = agent.continuation.as_ref();
+        let agent = &self.agents[index];
+        let continuation = agent.continuation.as_ref();
         if agent.turn > self.turns {
-            let end = request(ProgramRequestKind::End, &agent.program, carried);
+            let end = request(ProgramRequestKind::End, &agent.program, continuation);
             let id = mesh.program(vm, end);
-            return self.opened(mesh, at, vm, id);
+            return self.record_open_call(mesh, index, vm, id);
         }
         let permit = agent.permit.as_ref().filter(|p| p.turn == agent.turn);
         if agent.kind == Kind::Send && permit.is_none() {
             let kind = ProgramRequestKind::Permit { turn: agent.turn };
-            let id = mesh.program(vm, request(kind, &agent.program, carried));
-            return self.opened(mesh, at, vm, id);
+            let id = mesh.program(vm, request(kind, &agent.program, continuation));
+            return self.record_open_call(mesh, index, vm, id);
         }
         let permit = permit.filter(|_| agent.kind == Kind::Send);
         let new = call(
@@ -435,31 +441,35 @@
             &agent.program,
             agent.turn,
             agent.content,
-            carried,
+            continuation,
             permit,
         );
-        let copies = 1 + usize::from(self.random.per_mille(self.doubled_per_mille));
+        let copies = 1 + usize::from(self.random.per_mille(self.duplicated_per_mille));
         for copy in 0..copies {
-            let vm = if copy == 0 { Some(vm) } else { self.pick(mesh) };
+            let vm = if copy == 0 {
+                Some(vm)
+            } else {
+                self.choose_vm(mesh)
+            };
             if let Some(vm) = vm {
                 self.sent += 1;
-                self.agents[at].sends += 1;
+                self.agents[index].sends += 1;
                 let id = mesh.call(vm, new.clone());
-                self.opened(mesh, at, vm, id);
+                self.record_open_call(mesh, index, vm, id);
             }
         }
     }
 
     /// Records a call as open.
-    fn opened(&mut self, mesh: &Mesh, at: usize, vm: usize, id: CallId) {
-        self.by_call.insert(id, at);
-        self.agents[at].open.push((id, vm, mesh.now_us()));
+    fn record_open_call(&mut self, mesh: &Mesh, index: usize, vm: usize, id: CallId) {
+        self.by_call.insert(id, index);
+        self.agents[index].open_calls.push((id, vm, mesh.now_us()));
     }
 
-    /// Picks a random running VM other than the avoided one.
-    fn pick(&mut self, mesh: &Mesh) -> Option<usize> {
+    /// Picks a random running VM other than `excluded_vm`.
+    fn choose_vm(&mut self, mesh: &Mesh) -> Option<usize> {
         let up: Vec<usize> = (0..mesh.len())
-            .filter(|vm| mesh.control(*vm).is_some() && self.avoid != Some(*vm))
+            .filter(|vm| mesh.control(*vm).is_some() && self.excluded_vm != Some(*vm))
             .collect();
         up.get(self.random.below(up.len() as u64) as usize).copied()
     }
--- a/crates/testing/src/lib.rs
+++ b/crates/testing/src/lib.rs
@@ -15,4 +15,4 @@
 mod seeds;
 
 pub use random::Random;
-pub use seeds::{assert_members, run_sampled, sample_accounts, seeds, seeds_from, settled_mesh};
+pub use seeds::{assert_members, joined_mesh, run_checked, sample_accounts, seeds, seeds_from};
--- a/crates/testing/src/load.rs
+++ b/crates/testing/src/load.rs
@@ -84,41 +84,41 @@
     let end_us = mesh.now_us() + ms * 1_000;
     let mut next_us: Vec<_> = loads
         .iter()
-        .map(|load| mesh.now_us() + pause_us(load, random))
+        .map(|load| mesh.now_us() + interval_us(load, random))
         .collect();
     loop {
-        let first = (0..loads.len()).min_by_key(|&at| next_us[at]);
-        let Some(first) = first.filter(|&at| next_us[at] <= end_us) else {
+        let first = (0..loads.len()).min_by_key(|&index| next_us[index]);
+        let Some(first) = first.filter(|&index| next_us[index] <= end_us) else {
             break;
         };
         mesh.run_until(next_us[first]);
-        if let Some(vm) = choose(mesh, &loads[first], random) {
+        if let Some(vm) = choose_vm(mesh, &loads[first], random) {
             mesh.call(vm, call(&loads[first].account));
         }
-        next_us[first] += pause_us(&loads[first], random);
+        next_us[first] += interval_us(&loads[first], random);
     }
     mesh.run_until(end_us);
 }
 
 /// Returns a random interval until the next call of an account.
-fn pause_us(load: &Load, random: &mut Random) -> u64 {
+fn interval_us(load: &Load, random: &mut Random) -> u64 {
     let mean_us = 1e9 / load.offered_mcalls_per_s.max(1) as f64;
     random.exponential(mean_us) as u64
 }
 
 /// Chooses the running VM that receives a call, at random by weight.
-fn choose(mesh: &Mesh, load: &Load, random: &mut Random) -> Option<usize> {
+fn choose_vm(mesh: &Mesh, load: &Load, random: &mut Random) -> Option<usize> {
     let is_up = |vm: &usize| mesh.control(*vm).is_some();
     let running: Vec<_> = (0..load.weights.len()).filter(is_up).collect();
     let total: u64 = running.iter().map(|&vm| load.weights[vm]).sum();
     if total == 0 {
         return running.first().copied();
     }
-    let mut left = random.below(total);
+    let mut remaining = random.below(total);
     running.into_iter().find(|&vm| {
         let weight = load.weights[vm];
-        let is_it = left < weight;
-        left = left.saturating_sub(weight);
-        is_it
+        let is_chosen = remaining < weight;
+        remaining = remaining.saturating_sub(weight);
+        is_chosen
     })
 }
--- a/crates/testing/src/measures.rs
+++ b/crates/testing/src/measures.rs
@@ -44,13 +44,13 @@
 ///
 /// Its level is negative while calls that will be admitted are still queued.
 #[derive(Debug)]
-struct Follower {
+struct ReferenceBucket {
     limits: Bucket,
     level_ncalls: i128,
     updated_us: u64,
 }
 
-impl Follower {
+impl ReferenceBucket {
     /// Creates a full bucket.
     fn new(limits: Bucket) -> Self {
         Self {
@@ -61,52 +61,52 @@
     }
 
     /// Refills the bucket up to a time and returns whether it has a token for a call.
-    fn has_call(&mut self, at_us: u64) -> bool {
-        let grown_ncalls = self.limits.rate_mcalls_per_s * (at_us - self.updated_us);
-        let level_ncalls = self.level_ncalls + i128::from(grown_ncalls);
+    fn has_capacity(&mut self, at_us: u64) -> bool {
+        let refilled_ncalls = self.limits.rate_mcalls_per_s * (at_us - self.updated_us);
+        let level_ncalls = self.level_ncalls + i128::from(refilled_ncalls);
         self.level_ncalls = level_ncalls.min(self.limits.burst_ncalls.into());
         self.updated_us = at_us;
         self.level_ncalls >= i128::from(NCALLS_PER_CALL)
     }
 
     /// Charges the bucket for one call.
-    fn take(&mut self) {
+    fn charge(&mut self) {
         self.level_ncalls -= i128::from(NCALLS_PER_CALL);
     }
 }
 
 /// Reference buckets of an account and the resulting counts.
 #[derive(Debug)]
-struct Ideal {
+struct Comparison {
     /// Admits calls independently of the trace.
     entitled: Bucket,
     /// Charged for admitted calls only; see [`Served::wrongly_refused`].
-    strict: Follower,
+    admitted_only: ReferenceBucket,
     /// Charged for wrongly refused calls too; see [`Served::lost_calls`].
-    once: Follower,
+    with_lost: ReferenceBucket,
     served: Served,
 }
 
-impl Ideal {
+impl Comparison {
     /// Starts a comparison in which all buckets are full.
     fn new(limits: Bucket) -> Self {
         Self {
             entitled: limits,
-            strict: Follower::new(limits),
-            once: Follower::new(limits),
+            admitted_only: ReferenceBucket::new(limits),
+            with_lost: ReferenceBucket::new(limits),
             served: Served::default(),
         }
     }
 
     /// Counts a call that arrived and charges the buckets for it.
-    fn arrive(&mut self, at_us: u64, is_admitted: bool) {
-        let is_wrong = self.strict.has_call(at_us) && !is_admitted;
-        let is_lost = self.once.has_call(at_us) && !is_admitted;
+    fn record_arrival(&mut self, at_us: u64, is_admitted: bool) {
+        let is_wrong = self.admitted_only.has_capacity(at_us) && !is_admitted;
+        let is_lost = self.with_lost.has_capacity(at_us) && !is_admitted;
         if is_admitted {
-            self.strict.take();
+            self.admitted_only.charge();
         }
         if is_admitted || is_lost {
-            self.once.take();
+            self.with_lost.charge();
         }
         let served = &mut self.served;
         served.calls += 1;
@@ -119,25 +119,25 @@
 
 /// Compares calls (arrival time and whether they were admitted) with one bucket.
 pub fn compare(limits: Bucket, calls: impl IntoIterator<Item = (u64, bool)>) -> Served {
-    let mut ideal = Ideal::new(limits);
+    let mut comparison = Comparison::new(limits);
     for (at_us, is_admitted) in calls {
-        ideal.arrive(at_us, is_admitted);
+        comparison.record_arrival(at_us, is_admitted);
     }
-    ideal.served
+    comparison.served
 }
 
 /// Compares the calls of each account with one bucket for all VMs.
 ///
 /// Calls that were neither admitted nor refused are not counted: their VM
 /// crashed, or they are still queued.
-pub fn served(trace: &Trace, fleet: &FleetConfig) -> BTreeMap<AccountName, Served> {
-    let mut ideals = BTreeMap::new();
+pub fn compare_accounts(trace: &Trace, fleet: &FleetConfig) -> BTreeMap<AccountName, Served> {
+    let mut comparisons = BTreeMap::new();
     let mut accounts = HashMap::<KeyId, AccountName>::new();
     for account in &fleet.accounts {
         let burst_ncalls = account.burst_calls * NCALLS_PER_CALL;
         let limits = Bucket::full(account.rate_mcalls_per_s, burst_ncalls, 0);
-        let ideal = Ideal::new(limits);
-        ideals.insert(account.name.clone(), ideal);
+        let comparison = Comparison::new(limits);
+        comparisons.insert(account.name.clone(), comparison);
         for key in &account.keys {
             accounts.insert(key.id.clone(), account.name.clone());
         }
@@ -152,13 +152,13 @@
             continue;
         }
         let account = call.key.as_ref().and_then(|key| accounts.get(&key.id));
-        if let Some(ideal) = account.and_then(|account| ideals.get_mut(account)) {
-            ideal.arrive(*at_us, is_admitted);
+        if let Some(comparison) = account.and_then(|account| comparisons.get_mut(account)) {
+            comparison.record_arrival(*at_us, is_admitted);
         }
     }
-    ideals
+    comparisons
         .into_iter()
-        .map(|(account, ideal)| (account, ideal.served))
+        .map(|(account, comparison)| (account, comparison.served))
         .collect()
 }
 
--- a/crates/testing/src/random.rs
+++ b/crates/testing/src/random.rs
@@ -11,7 +11,7 @@
     }
 
     /// Returns the next 64 random bits.
-    pub fn bits(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -20,7 +20,7 @@
 
     /// Returns a number below `bound`, or 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
-        self.bits().checked_rem(bound).unwrap_or(0)
+        self.next_u64().checked_rem(bound).unwrap_or(0)
     }
 
     /// Returns a number from `low` to `high`, inclusive.
@@ -35,7 +35,7 @@
 
     /// Returns an exponentially distributed number with mean `mean`.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        let unit = ((self.bits() >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
+        let unit = ((self.next_u64() >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
         -unit.ln() * mean
     }
 }
--- a/crates/testing/src/scenario.rs
+++ b/crates/testing/src/scenario.rs
@@ -118,7 +118,7 @@
     pub fn finish(mut self) -> BTreeMap<AccountName, Served> {
         self.mesh.run_ms(3_000);
         self.check();
-        measures::served(&self.mesh.trace, &fleet())
+        measures::compare_accounts(&self.mesh.trace, &fleet())
     }
 }
 
@@ -170,12 +170,12 @@
     }
 
     /// Returns the ratio of wrongly refused to entitled calls of accounts within their rate.
-    pub fn wrongful_part(&self) -> f64 {
+    pub fn wrongful_ratio(&self) -> f64 {
         self.in_rate.wrongly_refused as f64 / self.in_rate.entitled.max(1) as f64
     }
 
     /// Returns the ratio of lost to entitled calls of all accounts.
-    pub fn lost_part(&self) -> f64 {
+    pub fn lost_ratio(&self) -> f64 {
         let all = measures::total([&self.in_rate, &self.over_rate]);
         all.lost_calls as f64 / all.entitled.max(1) as f64
     }
--- a/crates/testing/src/seeds.rs
+++ b/crates/testing/src/seeds.rs
@@ -30,7 +30,7 @@
         .collect()
 }
 
-/// Largest number of VMs for which [`run_sampled`] checks all accounts every 50 ms.
+/// Largest number of VMs for which [`run_checked`] checks all accounts every 50 ms.
 const SMALL_FLEET: usize = 9;
 
 /// Runs a mesh and checks every 50 ms that no account has two owners.
@@ -40,7 +40,7 @@
 /// # Panics
 ///
 /// Panics with the seed if an account has two owners.
-pub fn run_sampled(mesh: &mut Mesh, ms: u64, seed: u64) {
+pub fn run_checked(mesh: &mut Mesh, ms: u64, seed: u64) {
     let mut accounts = sample_accounts();
     let mut step_ms = 50;
     if mesh.len() > SMALL_FLEET {
@@ -60,9 +60,9 @@
 /// # Panics
 ///
 /// Panics with the seed if an account has two owners during the joins.
-pub fn settled_mesh(fleet: FleetConfig, seed: u64) -> Mesh {
+pub fn joined_mesh(fleet: FleetConfig, seed: u64) -> Mesh {
     let mut mesh = Mesh::with_domains(8, 3, fleet, seed);
-    run_sampled(&mut mesh, 6_000, seed);
+    run_checked(&mut mesh, 6_000, seed);
     mesh
 }
 
