--- a/crates/testing/src/invariants/calls.rs
+++ b/crates/testing/src/invariants/calls.rs
@@ -1,4 +1,4 @@
-//! Invariants of calls and charges.
+//! Invariants of calls and their charges.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,9 +6,9 @@
 
 use crate::mesh::{Trace, TraceEvent};
 
-/// A request that may not be repeated runs at most once.
+/// Checks that a non-idempotent request runs at most once.
 ///
-/// Resends of a request are recognised by account, program, turn and content.
+/// Repeated requests are identified by account, program, turn and content.
 ///
 /// # Errors
 ///
@@ -31,11 +31,11 @@
     Ok(())
 }
 
-/// A refusal that says "not run" is true.
+/// Checks that no call ran whose refusal says that it did not.
 ///
 /// # Errors
 ///
-/// Returns the call that ran although its refusal denied it.
+/// Returns the call that ran despite its refusal.
 pub fn refusal_is_true(trace: &Trace) -> Result<(), String> {
     let executed = executions(trace);
     for (at_us, event) in &trace.events {
@@ -52,14 +52,15 @@
     Ok(())
 }
 
-/// One charge record for each call that ran, none for one that did not.
+/// Checks that each call that ran has one charge record and each other call has none.
 ///
-/// A record whose outcome is unknown may belong to a call that did not run. Calls that were neither
-/// answered nor refused, because their VM crashed, need no record; any call has at most one.
+/// A record whose outcome is unknown may belong to a call that did not run. Calls that got
+/// neither a response nor a refusal, because their VM crashed, need no record. No call has more
+/// than one.
 ///
 /// # Errors
 ///
-/// Returns the call whose records are wrong.
+/// Returns the call with a missing, extra or duplicate record.
 pub fn charges_reconcile(trace: &Trace) -> Result<(), String> {
     let executed = executions(trace);
     let mut charged = BTreeSet::new();
@@ -88,15 +89,15 @@
     Ok(())
 }
 
-/// A caller gets the complete response to its own request.
+/// Checks that a caller gets the response to its own request.
 ///
-/// An answered call has run itself. A replayed response belongs to a call of
-/// the same program, turn and content that ran on the VM that keeps it, and
-/// no call gets two responses.
+/// A call with a response of its own has run. A replayed response belongs to a call of the same
+/// program, turn, target and content that ran on the VM that stores the response. No call gets two
+/// responses.
 ///
 /// # Errors
 ///
-/// Returns the call with a response that is not its own.
+/// Returns the call that got a wrong or second response.
 pub fn answer_matches_request(trace: &Trace) -> Result<(), String> {
     let mut arrived = BTreeMap::new();
     let mut ran_on = BTreeMap::new();
@@ -113,7 +114,7 @@
             }
             TraceEvent::Answered(answered) if !ran_on.contains_key(&answered.call) => {
                 return Err(format!(
-                    "call {} was answered but did not run",
+                    "call {} got a response but did not run",
                     answered.call
                 ));
             }
--- a/crates/testing/src/invariants/memory.rs
+++ b/crates/testing/src/invariants/memory.rs
@@ -1,4 +1,4 @@
-//! Invariants of engine memory.
+//! Invariant of the memory that programs hold at engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,17 +6,17 @@
 
 use crate::mesh::{Mesh, TraceEvent};
 
-/// No engine memory is held by programs that no longer exist.
+/// Checks that no engine holds memory of a program that no longer exists.
 ///
-/// Memory that a run left at an engine and that was not released since belongs
-/// to a program that a live VM keeps as its home, or to a release or a
-/// transfer in progress, or to a live entry VM whose view still names a dead home. Memory is exempt if the entry VM and the home of every
-/// run that left it have crashed: nobody who knew of it is left, and the engine
-/// drops it by itself.
+/// Memory that a run left at an engine and that was not released since must belong to a program on
+/// a live home, to a pending release, to a transfer in progress, or to a program that a live entry
+/// VM has served and whose home in that VM's view is missing or down. Memory is exempt if the entry
+/// VM and the home of every run that left it have crashed: no VM knows of it any more, and the
+/// engine evicts it by itself.
 ///
 /// # Errors
 ///
-/// Returns the program and the engine that holds its memory.
+/// Returns the engine, the program and the generation of the unreleased memory.
 pub fn memory_released(mesh: &Mesh) -> Result<(), String> {
     let mut held: BTreeSet<(&UpstreamName, &ProgramKey, u64)> = BTreeSet::new();
     let mut homes = BTreeMap::new();
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// Returns whether a live VM will release the memory of a program.
+/// Returns whether a live VM tracks the memory of a program, so that it will release it.
 fn is_known(mesh: &Mesh, upstream: &UpstreamName, program: &ProgramKey, generation: u64) -> bool {
     let controls = (0..mesh.len()).filter_map(|vm| mesh.control(vm));
     controls.into_iter().any(|control| {
--- a/crates/testing/src/invariants/mod.rs
+++ b/crates/testing/src/invariants/mod.rs
@@ -1,6 +1,6 @@
-//! Invariants over a trace, named after section 1.1 of `docs/design.md`.
+//! Checks of a recorded trace, named after the invariants in section 1.1 of `docs/design.md`.
 //!
-//! Each function returns the first violation as text.
+//! Each check returns the first violation as an error text.
 
 mod calls;
 mod memory;
--- a/crates/testing/src/invariants/owners.rs
+++ b/crates/testing/src/invariants/owners.rs
@@ -7,14 +7,14 @@
 
 use crate::mesh::{Mesh, Trace, TraceEvent};
 
-/// At most one VM may act as owner of an account, now.
+/// Checks that at most one VM may act as owner of each account at the current time.
 ///
-/// A test samples this after each step of the mesh. A paused VM counts as
-/// acting as long as its own clock says that its lease is valid.
+/// Tests call this after each step of the mesh. A paused VM counts as an owner until its lease
+/// expires by its own clock.
 ///
 /// # Errors
 ///
-/// Returns the account and the VMs that may both act for it.
+/// Returns the account and the VMs that may act for it, with the epochs of their views.
 pub fn single_owner(mesh: &Mesh, accounts: &[AccountName]) -> Result<(), String> {
     for account in accounts {
         let owners = owners(mesh, |view| view.account_owner(account));
@@ -26,7 +26,8 @@
     Ok(())
 }
 
-/// Returns the VMs that may act as the owner that a function finds in a view.
+/// Returns the VMs that may act as the owner that `owner` selects from their view, each with the
+/// epoch of its view.
 pub fn owners<'a>(
     mesh: &'a Mesh,
     owner: impl Fn(&'a View) -> Option<&'a VmName>,
@@ -43,11 +44,11 @@
         .collect()
 }
 
-/// A revision in force on a VM only ever grows while its process runs.
+/// Checks that the configuration revision in force on a VM only grows while its process runs.
 ///
 /// # Errors
 ///
-/// Returns the VM that went back and its revisions.
+/// Returns the VM whose revision did not grow, with both revisions.
 pub fn config_moves_forward(trace: &Trace) -> Result<(), String> {
     let mut in_force: BTreeMap<VmName, Revision> = BTreeMap::new();
     for (at_us, event) in &trace.events {
--- a/crates/testing/src/invariants/programs.rs
+++ b/crates/testing/src/invariants/programs.rs
@@ -1,4 +1,4 @@
-//! Invariants of programs.
+//! Invariants of the order, history and budget of programs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 
 use crate::mesh::{Trace, TraceEvent, history_after};
 
-/// A program's calls run in order.
+/// Checks that the turns of a program run in order.
 ///
 /// Turn *n+1* runs only after an attempt at turn *n* has ended. A lower turn
 /// runs again only if every VM that ran a higher one has crashed since.
@@ -44,7 +44,7 @@
                 }
                 if turn > 1 && !ended.contains(&(key, turn - 1)) {
                     return Err(format!(
-                        "{key} turn {turn} ran at {at_us} us before the end of the turn before it"
+                        "{key} turn {turn} ran at {at_us} us before the previous turn ended"
                     ));
                 }
                 before.push((turn, vm));
@@ -55,16 +55,15 @@
     Ok(())
 }
 
-/// A program's history is never lost or mixed with another.
+/// Checks that a program's history is never lost or mixed with another's.
 ///
-/// Each continuation names the program and turn of its call and holds the
-/// digest of the carried history with this call added; one that comes with a
-/// replayed response does so for the call that ran. A call of a model runs
-/// only on the history of the turn before it.
+/// Each continuation names the program and turn of its call and holds the digest of the request's
+/// history with this call added; with a replayed response, these are those of the call that ran. A
+/// call to a model runs only on the history of the previous turn.
 ///
 /// # Errors
 ///
-/// Returns the call with a wrong history.
+/// Returns the call that ran on, or returned, a wrong history.
 pub fn history_intact(trace: &Trace) -> Result<(), String> {
     let mut calls = Calls::new();
     let mut given: Vec<&Continuation> = Vec::new();
@@ -108,10 +107,10 @@
     Ok(())
 }
 
-/// Calls that ran, with the program that they ran for.
+/// Calls that ran, with the program of each.
 type Calls<'a> = BTreeMap<CallId, (&'a NewCall, Option<&'a ProgramKey>)>;
 
-/// Checks the state that the caller of a call got.
+/// Checks the continuation that the caller of a call received.
 fn check_state(
     calls: &Calls<'_>,
     id: CallId,
@@ -136,15 +135,15 @@
     Ok(())
 }
 
-/// A program's budget is never exceeded.
+/// Checks that no program exceeds its budget.
 ///
-/// Sums the charges of each root with its sub-agents. A turn that ran again,
-/// because the VMs that knew of its end died, counts once, with its highest
-/// charge. No program of the trace may be started a second time.
+/// Sums the charges of each root program and its sub-agents. A turn that ran again, because the VMs
+/// that knew of its end crashed, counts once, with its highest charge. Traces in which a program is
+/// started a second time are not supported.
 ///
 /// # Errors
 ///
-/// Returns the root and what it used.
+/// Returns the root program and its used tokens and turns.
 pub fn budget_holds(trace: &Trace, fleet: &FleetConfig) -> Result<(), String> {
     let mut turns: BTreeMap<(ProgramKey, &ProgramKey, u32), u64> = BTreeMap::new();
     for (_, event) in &trace.events {
--- a/crates/testing/src/invariants/rates.rs
+++ b/crates/testing/src/invariants/rates.rs
@@ -1,4 +1,4 @@
-//! Invariants of client accounts.
+//! Invariant of the rate limits of client accounts.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,14 @@
 
 use crate::mesh::{Trace, TraceEvent};
 
-/// In any window, an account is admitted at most rate x window + burst calls.
+/// Checks that an account is admitted at most rate x window + burst calls in any window.
 ///
 /// # Errors
 ///
 /// Returns the account and time of the first call that breaks the limit.
 pub fn rate_and_burst(trace: &Trace, fleet: &FleetConfig) -> Result<(), String> {
-    // A full bucket that admits the same calls at the same times proves every window at once.
+    // If a bucket that starts full admits the same calls at the same times, every window is within
+    // the limit.
     let mut buckets: BTreeMap<_, _> = fleet
         .accounts
         .iter()
@@ -32,7 +33,7 @@
         };
         if !bucket.try_take(*at_us) {
             return Err(format!(
-                "{account} over its rate at {at_us} us, call {call} on {vm}"
+                "account {account} exceeded its rate at {at_us} us with call {call} on {vm}"
             ));
         }
     }
--- a/crates/testing/src/relays/carry.rs
+++ b/crates/testing/src/relays/carry.rs
@@ -1,27 +1,27 @@
-//! Carries the outputs of relays to their receivers.
+//! Simulates the network, the store and the upstreams that receive the relays' outputs.
 
 use knapweeddale_core::input::{AttemptOutcome, AttemptProgress, ProbeState};
 use knapweeddale_core::{AttemptEvent, Dispatch, Input, Output, PeerEvent, SourceRequest, Summary};
 
 use super::{Passed, RelayFleet, Run};
 
-/// One way between two VMs.
+/// One-way latency between two VMs.
 const LINK_US: u64 = 1_000;
 
-/// The store's time for an answer.
+/// Time from a request to the store's response.
 const STORE_US: u64 = 5_000;
 
 /// # Outputs
 impl RelayFleet {
-    /// Carries an output of a VM to its receiver.
+    /// Delivers an output of a VM to its receiver.
     ///
     /// # Panics
     ///
-    /// Panics on an output that only owners of something give.
+    /// Panics on an output that only owners produce; VMs under `Coordination::Peers` own nothing.
     pub(super) fn carry(&mut self, vm: usize, output: Output) {
         assert!(
             !Self::is_foreign(&output),
-            "vm-{vm} acts as an owner: {output:?}"
+            "vm-{vm} produced an output reserved for owners: {output:?}"
         );
         match output {
             Output::Source(request) => self.ask(vm, request),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Asks the store.
+    /// Sends a request to the store and schedules its response, if it has one.
     fn ask(&mut self, vm: usize, request: SourceRequest) {
         let name = self.vms[vm].name.clone();
         if let Some(event) = self.store.answer((vm, &name), request, self.now_us) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the VM at an address that another one reaches.
+    /// Returns the VM at `address` if it is up and reachable from `vm`.
     fn reached(&self, vm: usize, address: &str) -> Option<usize> {
         let to = self
             .vms
@@ -61,7 +61,7 @@
         (is_up && !self.cut.contains(&(vm, to))).then_some(to)
     }
 
-    /// Sends a summary.
+    /// Sends a summary to another VM; it is lost if that VM is down or unreachable.
     fn send(&mut self, vm: usize, address: &str, summary: Summary) {
         if let Some(to) = self.reached(vm, address) {
             let news = PeerEvent::Summary(Box::new(summary));
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Asks another VM for its state.
+    /// Requests a snapshot of another VM's state.
     fn snapshot(&mut self, vm: usize, address: &str, with_programs: bool) {
         let sent_us = self.now_us;
         let news = match self.reached(vm, address) {
@@ -82,7 +82,7 @@
         self.deliver(vm, 2 * LINK_US, Input::PeerEvent(news));
     }
 
-    /// Runs an attempt to its end.
+    /// Records an attempt as run and schedules its end; ignores refused calls.
     fn dispatch(&mut self, vm: usize, dispatch: Dispatch) {
         let call = dispatch.attempt.call;
         let Some(open) = self.open.get(&call).cloned() else {
--- a/crates/testing/src/relays/mod.rs
+++ b/crates/testing/src/relays/mod.rs
@@ -1,8 +1,8 @@
-//! VMs that decide for their own calls, in virtual time.
+//! Simulation, in virtual time, of VMs that each schedule their own calls.
 //!
-//! A [`RelayFleet`] runs the core of several VMs under `Coordination::Peers` and carries their
-//! summaries, their requests to the store and their attempts. VMs can be killed and cut off, and
-//! the store can be away for all or for some.
+//! A [`RelayFleet`] runs the core of several VMs under `Coordination::Peers` and simulates the
+//! summaries between them, their requests to the store and their attempts. VMs can be killed and
+//! isolated, and the store can be unavailable to all or some of them.
 
 mod carry;
 mod parts;
@@ -22,18 +22,18 @@
 
 use crate::Random;
 
-/// One VM.
+/// A simulated VM.
 #[derive(Debug)]
 struct Vm {
     name: VmName,
-    /// Absent while the process is down.
+    /// `None` while the process is down.
     control: Option<Control>,
     incarnation: u64,
-    /// When the control has to run at the latest.
+    /// Calls sent to this VM so far; numbers its call ids.
     calls: u64,
 }
 
-/// Something that happens at a time.
+/// An input in flight to a VM; dropped if the VM is down or has restarted since it was sent.
 #[derive(Debug)]
 struct Event {
     vm: usize,
@@ -41,32 +41,32 @@
     input: Input,
 }
 
-/// VMs that decide for their own calls, in virtual time.
+/// A fleet of VMs that each schedule their own calls, run in virtual time.
 #[derive(Debug)]
 pub struct RelayFleet {
     now_us: u64,
     vms: Vec<Vm>,
-    /// Inputs by time, in the order in which they were sent.
+    /// Inputs in flight, by delivery time and then in the order in which they were sent.
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     random: Random,
-    /// The platform's store.
+    /// The simulated store of the platform.
     pub store: StoreState,
-    /// Pairs of VMs that do not reach each other.
+    /// Links (sender, receiver) that are interrupted.
     cut: BTreeSet<(usize, usize)>,
-    /// What each open call does on its upstream.
+    /// All calls but the refused ones, with their behaviour on the upstream; finished calls stay.
     open: BTreeMap<CallId, RelayCall>,
-    /// Calls that were sent to an upstream.
+    /// Every attempt sent to an upstream, in order of time.
     pub runs: Vec<Run>,
-    /// Tokens that were passed to callers.
+    /// Tokens forwarded to callers, one entry per turn.
     pub passed: Vec<Passed>,
-    /// Refusals with their time.
+    /// Refused calls, with the time of each refusal in microseconds.
     pub refusals: Vec<(u64, Refusal)>,
 }
 
 /// # Construction
 impl RelayFleet {
-    /// Starts VMs for the first time, with a configuration and upstreams in the store.
+    /// Creates a fleet whose store holds the configuration and upstream list, and starts its VMs.
     pub fn new(vms: usize, config: FleetConfig, list: UpstreamList, seed: u64) -> Self {
         let mut fleet = Self {
             now_us: 3_600_000_000,
@@ -118,17 +118,17 @@
 
 /// # Faults
 impl RelayFleet {
-    /// Kills the process of a VM.
+    /// Kills the process of a VM; its in-memory state is lost.
     pub fn kill(&mut self, vm: usize) {
         self.vms[vm].control = None;
     }
 
-    /// Starts the process of a VM again.
+    /// Restarts the process of a VM with a new incarnation.
     pub fn restart(&mut self, vm: usize) {
         self.start(vm, false);
     }
 
-    /// Cuts a VM off from all others and from the store, or connects it again.
+    /// Isolates a VM from all others and from the store, or reconnects it.
     pub fn cut_off(&mut self, vm: usize, is_cut: bool) {
         for other in 0..self.vms.len() {
             for pair in [(vm, other), (other, vm)] {
@@ -145,7 +145,7 @@
 
 /// # Running
 impl RelayFleet {
-    /// Returns the present time.
+    /// Returns the current virtual time.
     pub fn now_us(&self) -> u64 {
         self.now_us
     }
@@ -156,7 +156,7 @@
     ///
     /// Panics if the VM is down.
     pub fn control(&self, vm: usize) -> &Control {
-        self.vms[vm].control.as_ref().expect("the VM is up")
+        self.vms[vm].control.as_ref().expect("VM is down")
     }
 
     /// Returns whether a VM is up and ready.
@@ -165,7 +165,7 @@
         control.is_some_and(|control| control.is_ready(self.now_us))
     }
 
-    /// Runs for a time.
+    /// Advances the virtual time by `ms` and handles everything that falls due.
     pub fn run_ms(&mut self, ms: u64) {
         let until_us = self.now_us + ms * 1_000;
         while let Some(at_us) = self.next_us().filter(|at_us| *at_us <= until_us) {
@@ -175,7 +175,7 @@
         self.now_us = until_us;
     }
 
-    /// Returns when something happens next.
+    /// Returns the time of the next event or timer.
     fn next_us(&self) -> Option<u64> {
         let event = self.events.keys().next().map(|(at_us, _)| *at_us);
         let timers = self.vms.iter().filter_map(|vm| {
@@ -185,7 +185,7 @@
         timers.chain(event).min()
     }
 
-    /// Handles everything that is due.
+    /// Delivers all due events, then runs the VMs whose timers are due.
     fn step(&mut self) {
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > self.now_us {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Runs one tick of a VM and carries its outputs.
+    /// Runs one tick of a VM and delivers its outputs.
     fn tick(&mut self, vm: usize, inputs: Vec<Input>) {
         let mut outputs = Vec::new();
         let now_us = self.now_us;
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Sends an input to a VM.
+    /// Schedules an input for the current incarnation of a VM.
     fn deliver(&mut self, vm: usize, delay_us: u64, input: Input) {
         let event = Event {
             vm,
@@ -230,7 +230,7 @@
             .insert((self.now_us + delay_us, self.next_event), event);
     }
 
-    /// Sends a call to a VM and returns its identity.
+    /// Sends a call to a VM and returns its id.
     pub fn call(&mut self, vm: usize, call: RelayCall) -> CallId {
         let row = &mut self.vms[vm];
         row.calls += 1;
@@ -252,14 +252,14 @@
         self.runs.iter().any(|run| run.call == call)
     }
 
-    /// Returns why a call was refused.
+    /// Returns why a call was refused; `None` if it was not.
     pub fn refusal(&self, call: CallId) -> Option<RefusalKind> {
         let refusals = self.refusals.iter();
         let mut kinds = refusals.filter(|(_, refusal)| refusal.call == call);
         kinds.next().map(|(_, refusal)| refusal.kind)
     }
 
-    /// Returns the most calls of an account that ran within any window.
+    /// Returns the maximum number of an account's calls that ran within any window of this length.
     pub fn most_in_window(&self, account: &str, window_ms: u64) -> usize {
         let runs = self.runs.iter().filter(|run| run.account == account);
         let times: Vec<u64> = runs.map(|run| run.at_us).collect();
@@ -270,23 +270,23 @@
         (0..times.len()).map(within).max().unwrap_or(0)
     }
 
-    /// Returns the tokens passed to the callers of a program.
+    /// Returns the tokens forwarded to the callers of a program.
     pub fn passed_tokens(&self, program: &str) -> u64 {
         let passed = self.passed.iter().filter(|row| row.program == program);
         passed.map(|row| row.tokens).sum()
     }
 
-    /// Returns the configuration of the store.
+    /// Returns the configuration that the store serves.
     pub fn published(&self) -> Arc<FleetConfig> {
         self.store.config()
     }
 
-    /// Draws a number below a bound from the seed of the fleet.
+    /// Draws a random number below `bound` from the fleet's seeded generator.
     pub fn draw(&mut self, bound: u64) -> u64 {
         self.random.below(bound)
     }
 
-    /// Returns whether an output is one that only owners of something give.
+    /// Returns whether only owners produce this output.
     fn is_foreign(output: &Output) -> bool {
         matches!(
             output,
--- a/crates/testing/src/relays/parts.rs
+++ b/crates/testing/src/relays/parts.rs
@@ -1,4 +1,4 @@
-//! Calls, configurations and results of a fleet of relays.
+//! Calls, configurations and recorded results for a [`RelayFleet`](super::RelayFleet).
 
 use std::sync::Arc;
 
@@ -11,58 +11,59 @@
 };
 use smallvec::smallvec;
 
-/// The host of all routes.
+/// Host name of all routes.
 const HOST: &str = "north.example";
 
-/// A call that was sent to an upstream.
+/// An attempt that was sent to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// When.
+    /// When the attempt was sent.
     pub at_us: u64,
-    /// The VM.
+    /// Index of the VM that sent it.
     pub vm: usize,
-    /// The call.
+    /// The call that the attempt belongs to.
     pub call: CallId,
-    /// Its account.
+    /// The client account of the call.
     pub account: String,
-    /// The upstream.
+    /// The upstream that ran it.
     pub upstream: String,
 }
 
-/// Tokens that a turn passed to its caller.
+/// Tokens that a turn forwarded to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Passed {
-    /// When the turn ended.
+    /// When the turn was sent to its upstream.
     pub at_us: u64,
-    /// The program.
+    /// The program of the turn.
     pub program: String,
-    /// The tokens.
+    /// The number of tokens.
     pub tokens: u64,
 }
 
-/// A call with what it does on its upstream.
+/// A call to a relay, with its behaviour on the upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayCall {
-    /// The account, whose key has the same name.
+    /// The client account; its key id is the same string.
     pub account: String,
-    /// The path.
+    /// The request path, which selects the route.
     pub path: String,
-    /// The program, with its budget, the most of one turn and the line of turns.
+    /// Program, token budget, maximum tokens of one turn, and sequence of turns; `None` if the call
+    /// is no turn.
     pub turn: Option<(String, u64, u64, u64)>,
-    /// The program of a call that is no turn.
+    /// The program of a call that is no turn, if it belongs to one.
     pub program: Option<String>,
-    /// Tokens that the turn generates.
+    /// Tokens that the upstream generates.
     pub tokens: u64,
-    /// How long it runs.
+    /// How long it runs on the upstream.
     pub run_ms: u64,
-    /// How long its caller waits.
+    /// How long its caller waits for the response.
     pub timeout_ms: u64,
-    /// Identifies its content.
+    /// Stands for the request body: calls with equal values have equal digests.
     pub content: u8,
 }
 
 impl RelayCall {
-    /// Makes a call of a plain service.
+    /// Creates a call to the plain service.
     pub fn tool(account: &str) -> Self {
         Self {
             account: account.to_owned(),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Makes a turn of a program.
+    /// Creates a turn of a program that generates a quarter of its maximum tokens.
     pub fn turn(account: &str, program: &str, budget: u64, most: u64) -> Self {
         Self {
             path: "/chat/x".to_owned(),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Describes the call to the core.
+    /// Converts the call to the core's input.
     pub(super) fn describe(&self, id: CallId, now_us: u64) -> NewCall {
         let turn = self.turn.as_ref();
         let program = turn.map(|(program, ..)| program).or(self.program.as_ref());
@@ -117,7 +118,7 @@
     }
 }
 
-/// Returns the key of an account.
+/// Returns the key of an account, derived from its name.
 fn key(account: &str) -> PresentedKey {
     let mut sha256 = [0; 32];
     for (byte, text) in sha256.iter_mut().zip(account.bytes()) {
@@ -129,7 +130,7 @@
     }
 }
 
-/// Makes an account with a rate and a burst.
+/// Creates an account with a rate in calls per second and a burst in calls.
 pub fn account(name: &str, rate_per_s: u64, burst: u64) -> AccountConfig {
     let key = key(name);
     AccountConfig::builder()
@@ -144,9 +145,9 @@
         .build()
 }
 
-/// Makes a configuration with an engine service, a plain service and a route to each.
+/// Creates a configuration with an engine service, a plain service and a route to each.
 ///
-/// The streams of `/chat/` are resumable; requests to `/pay/` may not be repeated.
+/// The streams of `/chat/` are resumable; requests to `/pay/` are not idempotent.
 pub fn fleet(revision: u64, accounts: Vec<AccountConfig>) -> FleetConfig {
     let route = |prefix: &str, service: &str, kind: RouteKind| {
         HostRoute::builder()
@@ -190,7 +191,7 @@
     }
 }
 
-/// Makes an entry of the list of upstreams.
+/// Creates an entry of the upstream list.
 pub fn listed(name: &str, service: &str) -> ListedUpstream {
     let models = if service == "models" {
         vec!["m"]
@@ -210,7 +211,7 @@
     }
 }
 
-/// Makes a list with two engines and two plain upstreams.
+/// Creates an upstream list with two engines and two plain upstreams.
 pub fn upstreams(revision: u64) -> UpstreamList {
     UpstreamList {
         revision,
--- a/crates/testing/src/relays/store.rs
+++ b/crates/testing/src/relays/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as far as a fleet of relays asks it.
+//! In-memory model of the platform's store, limited to the requests that relays send.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,10 +9,10 @@
     UpstreamList, VmName,
 };
 
-/// VMs that restart within this time count the same loss of memory.
+/// VMs that restart within this time count as one loss of the fleet's in-memory state.
 const SAME_LOSS_US: u64 = 4_000_000;
 
-/// The state of the store.
+/// The contents of the store and its availability.
 #[derive(Debug)]
 pub struct StoreState {
     config: Arc<FleetConfig>,
@@ -22,7 +22,7 @@
     losses: (u32, u64),
     is_down: bool,
     unreachable: BTreeSet<usize>,
-    /// Requests that were answered, by what they were about.
+    /// Number of requests that the store served, by kind.
     pub calls: BTreeMap<&'static str, u64>,
 }
 
@@ -40,22 +40,22 @@
         }
     }
 
-    /// Publishes a configuration.
+    /// Publishes a configuration, which replaces the previous one.
     pub fn publish(&mut self, config: FleetConfig) {
         self.config = Arc::new(config);
     }
 
-    /// Replaces the list of upstreams.
+    /// Replaces the upstream list.
     pub fn list(&mut self, list: UpstreamList) {
         self.list = Arc::new(list);
     }
 
-    /// Lets the store answer nobody, or everybody again.
+    /// Makes the store fail the requests of all VMs, or ends the outage.
     pub fn set_down(&mut self, is_down: bool) {
         self.is_down = is_down;
     }
 
-    /// Lets the store answer a VM or not.
+    /// Sets whether a VM reaches the store; requests of an unreachable VM fail.
     pub fn set_reachable(&mut self, vm: usize, is_reachable: bool) {
         if is_reachable {
             self.unreachable.remove(&vm);
@@ -68,7 +68,7 @@
         Arc::clone(&self.config)
     }
 
-    /// Answers a request of a VM.
+    /// Serves a request of a VM; returns `None` if the request has no response.
     pub(super) fn answer(
         &mut self,
         (vm, name): (usize, &VmName),
@@ -139,7 +139,7 @@
     }
 }
 
-/// Returns what a request is about.
+/// Returns the kind of a request and the label under which it is counted.
 fn part_of(request: &SourceRequest) -> (SourceRequestKind, &'static str) {
     match request {
         SourceRequest::Config => (SourceRequestKind::Config, "config"),
