--- a/crates/core/tests/large_pool.rs
+++ b/crates/core/tests/large_pool.rs
@@ -1,15 +1,15 @@
 //! Guards against wrong placement in pools with more upstreams than placement compares for a call.
 
 use knapweeddale_core::UpstreamList;
-use knapweeddale_testing::relays::{RelayCall, RelayFleet, account, fleet, listed};
+use knapweeddale_testing::relays::{RelayCall, RelayFleet, account, fleet, listed_upstream};
 use rstest::rstest;
 
 /// Starts VMs with many upstreams of both services.
 fn start() -> RelayFleet {
     let rows = (0..24).flat_map(|number| {
         [
-            listed(&format!("engine-{number:02}"), "models"),
-            listed(&format!("tool-{number:02}"), "tools"),
+            listed_upstream(&format!("engine-{number:02}"), "models"),
+            listed_upstream(&format!("tool-{number:02}"), "tools"),
         ]
     });
     let mut list = UpstreamList {
--- a/crates/core/tests/listed_upstreams.rs
+++ b/crates/core/tests/listed_upstreams.rs
@@ -2,7 +2,9 @@
 //! upstreams that get no calls.
 
 use knapweeddale_core::UpstreamName;
-use knapweeddale_testing::relays::{RelayCall, RelayFleet, account, fleet, listed, upstreams};
+use knapweeddale_testing::relays::{
+    RelayCall, RelayFleet, account, fleet, listed_upstream, upstreams,
+};
 use rstest::rstest;
 
 /// Starts VMs with one account.
@@ -33,7 +35,7 @@
     let mut relays = start();
     let mut list = upstreams(2);
     list.upstreams[2].config.leaving = true;
-    relays.store.list(list);
+    relays.store.set_upstreams(list);
     relays.run_ms(1_500);
     for vm in 0..4 {
         assert_eq!(send_calls(&mut relays, vm), ["tool-2"]);
@@ -46,7 +48,7 @@
     let mut relays = start();
     let mut list = upstreams(2);
     list.upstreams.remove(2);
-    relays.store.list(list);
+    relays.store.set_upstreams(list);
     relays.run_ms(1_500);
     for vm in 0..4 {
         assert_eq!(send_calls(&mut relays, vm), ["tool-2"]);
@@ -61,14 +63,14 @@
     relays.run_ms(4_000);
     let mut list = upstreams(2);
     list.upstreams.truncate(2);
-    relays.store.list(list);
+    relays.store.set_upstreams(list);
     relays.store.set_down(false);
     relays.run_ms(1_000);
     assert_eq!(send_calls(&mut relays, 0), ["tool-1", "tool-2"]);
     // One of them has written its entry again, the other has not.
     let mut list = upstreams(3);
     list.upstreams.remove(3);
-    relays.store.list(list);
+    relays.store.set_upstreams(list);
     relays.run_ms(3_000);
     for vm in 0..4 {
         assert_eq!(send_calls(&mut relays, vm), ["tool-1"]);
@@ -80,8 +82,11 @@
 fn added() {
     let mut relays = start();
     let mut list = upstreams(2);
-    list.upstreams = vec![listed("engine-1", "models"), listed("tool-9", "tools")];
-    relays.store.list(list);
+    list.upstreams = vec![
+        listed_upstream("engine-1", "models"),
+        listed_upstream("tool-9", "tools"),
+    ];
+    relays.store.set_upstreams(list);
     relays.run_ms(1_500);
     assert_eq!(send_calls(&mut relays, 3), ["tool-9"]);
 }
@@ -93,7 +98,7 @@
     let mut relays = start();
     let mut list = upstreams(2);
     list.upstreams[0].config.started_unix_ms = 99;
-    relays.store.list(list);
+    relays.store.set_upstreams(list);
     relays.run_ms(1_500);
     let name = UpstreamName::from("engine-1");
     let row = relays.control(0).tables().upstreams.get(&name);
--- a/crates/core/tests/program_tokens.rs
+++ b/crates/core/tests/program_tokens.rs
@@ -47,7 +47,7 @@
         let mut relays = start(seed);
         run_endless_program(&mut relays, "loop", budget, 12);
         relays.run_ms(2_000);
-        let passed = relays.passed_tokens("loop");
+        let passed = relays.forwarded_tokens("loop");
         assert!(
             passed <= budget + MAX_TURN_TOKENS,
             "seed {seed}: {passed} of {budget}"
@@ -69,7 +69,7 @@
             run_endless_program(&mut relays, "loop", budget, 6);
         }
         relays.run_ms(2_000);
-        let passed = relays.passed_tokens("loop");
+        let passed = relays.forwarded_tokens("loop");
         assert!(
             passed <= budget + MAX_TURN_TOKENS,
             "seed {seed}: {passed} of {budget}"
@@ -112,13 +112,13 @@
     let mut relays = start(1);
     run_endless_program(&mut relays, "loop", 300, 8);
     relays.run_ms(1_000);
-    let passed = relays.passed_tokens("loop");
+    let passed = relays.forwarded_tokens("loop");
     for vm in 0..8 {
         let id = relays.call(vm, turn("loop", 300, 999));
         relays.run_ms(50);
         assert_eq!(relays.refusal(id), Some(RefusalKind::OverBudget));
     }
-    assert_eq!(relays.passed_tokens("loop"), passed);
+    assert_eq!(relays.forwarded_tokens("loop"), passed);
 }
 
 /// Guards against turns that run without a reservation while the store is down.
@@ -128,7 +128,7 @@
     relays.store.set_down(true);
     run_endless_program(&mut relays, "loop", 900, 4);
     relays.run_ms(1_000);
-    let passed = relays.passed_tokens("loop");
+    let passed = relays.forwarded_tokens("loop");
     assert!(passed <= 900 / 4 + 2 * MAX_TURN_TOKENS, "{passed}");
     let unknown = RefusalKind::BudgetUnknown;
     assert!(relays.refusals.iter().any(|(_, row)| row.kind == unknown));
@@ -148,6 +148,6 @@
     relays.run_ms(1_500);
     run_endless_program(&mut relays, "loop", 900, 8);
     relays.run_ms(1_000);
-    let passed = relays.passed_tokens("loop");
+    let passed = relays.forwarded_tokens("loop");
     assert!(passed <= 900 + MAX_TURN_TOKENS, "{passed}");
 }
--- a/crates/core/tests/shared_rates.rs
+++ b/crates/core/tests/shared_rates.rs
@@ -33,7 +33,7 @@
         let mut relays = start(50, 50, seed);
         send_calls(&mut relays, 250, 12_000, 8);
         relays.run_ms(1_000);
-        let most = relays.most_in_window("bus", WINDOW_MS);
+        let most = relays.max_runs_in_window("bus", WINDOW_MS);
         // The platform tolerates a tenth more and 20 calls for what is decided at once.
         assert!(most <= (50 * 5 + 50) * 11 / 10 + 20, "seed {seed}: {most}");
         assert!(most >= 250, "seed {seed}: only {most}");
@@ -66,7 +66,7 @@
         }
         relays.run_ms(300);
         send_calls(&mut relays, 250, 6_000, 8);
-        let most = relays.most_in_window("bus", WINDOW_MS);
+        let most = relays.max_runs_in_window("bus", WINDOW_MS);
         assert!(most <= (50 * 5 + 50) * 11 / 10 + 20, "seed {seed}: {most}");
     }
 }
@@ -77,9 +77,9 @@
     for seed in seeds() {
         let mut relays = start(50, 50, seed);
         send_calls(&mut relays, 250, 2_000, 8);
-        relays.cut_off(0, true);
+        relays.set_isolated(0, true);
         send_calls(&mut relays, 250, 6_000, 8);
-        let most = relays.most_in_window("bus", WINDOW_MS);
+        let most = relays.max_runs_in_window("bus", WINDOW_MS);
         assert!(most <= (50 * 5 + 50) * 11 / 10 + 20, "seed {seed}: {most}");
     }
 }
--- a/crates/core/tests/stale_config.rs
+++ b/crates/core/tests/stale_config.rs
@@ -24,13 +24,13 @@
 #[rstest]
 fn isolated_vm() {
     let mut relays = start();
-    relays.cut_off(1, true);
+    relays.set_isolated(1, true);
     relays.run_ms(3_000);
     assert_eq!(refusal_kind(&mut relays, 1), None);
     relays.run_ms(2_500);
     assert_eq!(refusal_kind(&mut relays, 1), Some(RefusalKind::Isolated));
     assert!(!relays.is_ready(1));
-    relays.cut_off(1, false);
+    relays.set_isolated(1, false);
     relays.run_ms(2_000);
     assert_eq!(refusal_kind(&mut relays, 1), None);
 }
@@ -78,7 +78,7 @@
 #[rstest]
 fn old_denial() {
     let mut relays = start();
-    relays.cut_off(2, true);
+    relays.set_isolated(2, true);
     relays.run_ms(3_000);
     let id = relays.call(2, RelayCall::tool("tram"));
     relays.run_ms(50);
@@ -134,7 +134,7 @@
 #[rstest]
 fn one_reader() {
     let mut relays = start();
-    let calls = |relays: &RelayFleet| relays.store.calls.values().sum::<u64>();
+    let calls = |relays: &RelayFleet| relays.store.requests.values().sum::<u64>();
     let before = calls(&relays);
     relays.run_ms(10_000);
     // One VM reads the configuration and the list; the registrations come on top.
--- a/crates/testing/src/invariants/calls.rs
+++ b/crates/testing/src/invariants/calls.rs
@@ -123,13 +123,15 @@
             TraceEvent::Replayed {
                 call, vm, original, ..
             } => {
-                let same = arrived.get(call).zip(arrived.get(original));
-                let is_same = same.is_some_and(|(a, b)| {
-                    let place = |call: &NewCall| {
+                let pair = arrived.get(call).zip(arrived.get(original));
+                let is_same = pair.is_some_and(|(a, b)| {
+                    let program_turn = |call: &NewCall| {
                         let program = call.program.clone();
                         program.map(|program| (program.name, program.turn))
                     };
-                    a.digest == b.digest && a.target == b.target && place(a) == place(b)
+                    a.digest == b.digest
+                        && a.target == b.target
+                        && program_turn(a) == program_turn(b)
                 });
                 if !is_same || ran_on.get(original) != Some(&vm) {
                     return Err(format!("call {call} got the response to {original}"));
--- a/crates/testing/src/invariants/memory.rs
+++ b/crates/testing/src/invariants/memory.rs
@@ -60,7 +60,7 @@
     };
     for memory in held {
         let (upstream, program, generation) = memory;
-        if !is_exempt(&memory) && !is_known(mesh, upstream, program, generation) {
+        if !is_exempt(&memory) && !is_tracked(mesh, upstream, program, generation) {
             return Err(format!(
                 "{upstream} still holds {program} generation {generation}"
             ));
@@ -70,7 +70,7 @@
 }
 
 /// Returns whether a live VM tracks the memory of a program, so that it will release it.
-fn is_known(mesh: &Mesh, upstream: &UpstreamName, program: &ProgramKey, generation: u64) -> bool {
+fn is_tracked(mesh: &Mesh, upstream: &UpstreamName, program: &ProgramKey, generation: u64) -> bool {
     let controls = (0..mesh.len()).filter_map(|vm| mesh.control(vm));
     controls.into_iter().any(|control| {
         let tables = control.tables();
@@ -80,8 +80,8 @@
                 && release.program == *program
                 && release.generation == generation
         });
-        let kept = tables.homes.witnesses.get(program);
-        let is_witnessed = kept.is_some_and(|kept| kept.witness.upstreams.contains(upstream));
+        let record = tables.homes.witnesses.get(program);
+        let is_witnessed = record.is_some_and(|record| record.witness.upstreams.contains(upstream));
         let home = tables
             .view
             .program_home(program)
--- a/crates/testing/src/invariants/programs.rs
+++ b/crates/testing/src/invariants/programs.rs
@@ -65,8 +65,8 @@
 ///
 /// Returns the call that ran on, or returned, a wrong history.
 pub fn history_intact(trace: &Trace) -> Result<(), String> {
-    let mut calls = Calls::new();
-    let mut given: Vec<&Continuation> = Vec::new();
+    let mut calls = ExecutedCalls::new();
+    let mut issued: Vec<&Continuation> = Vec::new();
     for (at_us, event) in &trace.events {
         match event {
             TraceEvent::Executed { dispatch, call, .. } => {
@@ -79,7 +79,7 @@
                 let is_first = place.turn == 1 && place.continuation.is_none();
                 let carried = place.continuation.as_ref();
                 let follows =
-                    carried.is_some_and(|c| c.turn + 1 == place.turn && given.contains(&c));
+                    carried.is_some_and(|c| c.turn + 1 == place.turn && issued.contains(&c));
                 if is_model && !is_first && !follows {
                     return Err(format!(
                         "call {} ran on a wrong history at {at_us} us",
@@ -88,9 +88,9 @@
                 }
             }
             TraceEvent::Answered(answered) => {
-                if let Some(state) = &answered.continuation {
-                    check_state(&calls, answered.call, state, *at_us)?;
-                    given.push(state);
+                if let Some(continuation) = &answered.continuation {
+                    check_continuation(&calls, answered.call, continuation, *at_us)?;
+                    issued.push(continuation);
                 }
             }
             TraceEvent::Replayed {
@@ -98,8 +98,8 @@
                 continuation,
                 ..
             } => {
-                check_state(&calls, *original, continuation, *at_us)?;
-                given.push(continuation);
+                check_continuation(&calls, *original, continuation, *at_us)?;
+                issued.push(continuation);
             }
             _ => {}
         }
@@ -108,13 +108,13 @@
 }
 
 /// Calls that ran, with the program of each.
-type Calls<'a> = BTreeMap<CallId, (&'a NewCall, Option<&'a ProgramKey>)>;
+type ExecutedCalls<'a> = BTreeMap<CallId, (&'a NewCall, Option<&'a ProgramKey>)>;
 
 /// Checks the continuation that the caller of a call received.
-fn check_state(
-    calls: &Calls<'_>,
+fn check_continuation(
+    calls: &ExecutedCalls<'_>,
     id: CallId,
-    state: &Continuation,
+    continuation: &Continuation,
     at_us: u64,
 ) -> Result<(), String> {
     let Some((call, key)) = calls.get(&id) else {
@@ -126,10 +126,10 @@
         Target::Model(_) => Some(history_after(call)),
         Target::Plain { .. } | Target::Host { .. } => carried.map(|carried| carried.history),
     };
-    let is_right = Some(&state.program) == *key
-        && Some(state.turn) == place.map(|place| place.turn)
-        && expected.is_none_or(|expected| expected == state.history);
-    if !is_right {
+    let is_correct = Some(&continuation.program) == *key
+        && Some(continuation.turn) == place.map(|place| place.turn)
+        && expected.is_none_or(|expected| expected == continuation.history);
+    if !is_correct {
         return Err(format!("call {id} got a wrong continuation at {at_us} us"));
     }
     Ok(())
--- a/crates/testing/src/relays/parts.rs
+++ b/crates/testing/src/relays/fixtures.rs
@@ -31,7 +31,7 @@
 
 /// Tokens that a turn forwarded to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Passed {
+pub struct ForwardedTokens {
     /// When the turn was sent to its upstream.
     pub at_us: u64,
     /// The program of the turn.
@@ -90,7 +90,7 @@
     }
 
     /// Converts the call to the core's input.
-    pub(super) fn describe(&self, id: CallId, now_us: u64) -> NewCall {
+    pub(super) fn to_new_call(&self, id: CallId, now_us: u64) -> NewCall {
         let turn = self.turn.as_ref();
         let program = turn.map(|(program, ..)| program).or(self.program.as_ref());
         let relayed = RelayedCall::builder()
@@ -192,7 +192,7 @@
 }
 
 /// Creates an entry of the upstream list.
-pub fn listed(name: &str, service: &str) -> ListedUpstream {
+pub fn listed_upstream(name: &str, service: &str) -> ListedUpstream {
     let models = if service == "models" {
         vec!["m"]
     } else {
@@ -216,10 +216,10 @@
     UpstreamList {
         revision,
         upstreams: vec![
-            listed("engine-1", "models"),
-            listed("engine-2", "models"),
-            listed("tool-1", "tools"),
-            listed("tool-2", "tools"),
+            listed_upstream("engine-1", "models"),
+            listed_upstream("engine-2", "models"),
+            listed_upstream("tool-1", "tools"),
+            listed_upstream("tool-2", "tools"),
         ],
     }
 }
--- a/crates/testing/src/relays/mod.rs
+++ b/crates/testing/src/relays/mod.rs
@@ -4,8 +4,8 @@
 //! summaries between them, their requests to the store and their attempts. VMs can be killed and
 //! isolated, and the store can be unavailable to all or some of them.
 
-mod carry;
-mod parts;
+mod fixtures;
+mod outputs;
 mod store;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
     RefusalKind, UpstreamList, VmName,
 };
 
-pub use parts::{Passed, RelayCall, Run, account, fleet, listed, upstreams};
+pub use fixtures::{ForwardedTokens, RelayCall, Run, account, fleet, listed_upstream, upstreams};
 pub use store::StoreState;
 
 use crate::Random;
@@ -53,13 +53,13 @@
     /// The simulated store of the platform.
     pub store: StoreState,
     /// Links (sender, receiver) that are interrupted.
-    cut: BTreeSet<(usize, usize)>,
+    interrupted_links: BTreeSet<(usize, usize)>,
     /// All calls but the refused ones, with their behaviour on the upstream; finished calls stay.
     open: BTreeMap<CallId, RelayCall>,
     /// Every attempt sent to an upstream, in order of time.
     pub runs: Vec<Run>,
     /// Tokens forwarded to callers, one entry per turn.
-    pub passed: Vec<Passed>,
+    pub forwarded: Vec<ForwardedTokens>,
     /// Refused calls, with the time of each refusal in microseconds.
     pub refusals: Vec<(u64, Refusal)>,
 }
@@ -75,10 +75,10 @@
             next_event: 0,
             random: Random::new(seed),
             store: StoreState::new(config, list),
-            cut: BTreeSet::new(),
+            interrupted_links: BTreeSet::new(),
             open: BTreeMap::new(),
             runs: Vec::new(),
-            passed: Vec::new(),
+            forwarded: Vec::new(),
             refusals: Vec::new(),
         };
         for number in 0..vms {
@@ -129,17 +129,17 @@
     }
 
     /// Isolates a VM from all others and from the store, or reconnects it.
-    pub fn cut_off(&mut self, vm: usize, is_cut: bool) {
+    pub fn set_isolated(&mut self, vm: usize, is_isolated: bool) {
         for other in 0..self.vms.len() {
             for pair in [(vm, other), (other, vm)] {
-                if is_cut {
-                    self.cut.insert(pair);
+                if is_isolated {
+                    self.interrupted_links.insert(pair);
                 } else {
-                    self.cut.remove(&pair);
+                    self.interrupted_links.remove(&pair);
                 }
             }
         }
-        self.store.set_reachable(vm, !is_cut);
+        self.store.set_reachable(vm, !is_isolated);
     }
 }
 
@@ -168,7 +168,7 @@
     /// Advances the virtual time by `ms` and handles everything that falls due.
     pub fn run_ms(&mut self, ms: u64) {
         let until_us = self.now_us + ms * 1_000;
-        while let Some(at_us) = self.next_us().filter(|at_us| *at_us <= until_us) {
+        while let Some(at_us) = self.next_due_us().filter(|at_us| *at_us <= until_us) {
             self.now_us = at_us.max(self.now_us);
             self.step();
         }
@@ -176,7 +176,7 @@
     }
 
     /// Returns the time of the next event or timer.
-    fn next_us(&self) -> Option<u64> {
+    fn next_due_us(&self) -> Option<u64> {
         let event = self.events.keys().next().map(|(at_us, _)| *at_us);
         let timers = self.vms.iter().filter_map(|vm| {
             let control = vm.control.as_ref()?;
@@ -214,7 +214,7 @@
             control.tick(now_us, inputs, &mut outputs);
         }
         for output in outputs {
-            self.carry(vm, output);
+            self.handle_output(vm, output);
         }
     }
 
@@ -238,7 +238,7 @@
             incarnation: Incarnation(row.incarnation * 1_000 + vm as u64),
             seq: row.calls,
         };
-        let new = call.describe(id, self.now_us);
+        let new = call.to_new_call(id, self.now_us);
         self.open.insert(id, call);
         self.tick(vm, vec![Input::CallArrived(Box::new(new))]);
         id
@@ -260,7 +260,7 @@
     }
 
     /// Returns the maximum number of an account's calls that ran within any window of this length.
-    pub fn most_in_window(&self, account: &str, window_ms: u64) -> usize {
+    pub fn max_runs_in_window(&self, account: &str, window_ms: u64) -> usize {
         let runs = self.runs.iter().filter(|run| run.account == account);
         let times: Vec<u64> = runs.map(|run| run.at_us).collect();
         let within = |from: usize| {
@@ -271,13 +271,13 @@
     }
 
     /// Returns the tokens forwarded to the callers of a program.
-    pub fn passed_tokens(&self, program: &str) -> u64 {
-        let passed = self.passed.iter().filter(|row| row.program == program);
-        passed.map(|row| row.tokens).sum()
+    pub fn forwarded_tokens(&self, program: &str) -> u64 {
+        let forwarded = self.forwarded.iter().filter(|row| row.program == program);
+        forwarded.map(|row| row.tokens).sum()
     }
 
     /// Returns the configuration that the store serves.
-    pub fn published(&self) -> Arc<FleetConfig> {
+    pub fn published_config(&self) -> Arc<FleetConfig> {
         self.store.config()
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// Returns whether only owners produce this output.
-    fn is_foreign(output: &Output) -> bool {
+    fn is_owner_output(output: &Output) -> bool {
         matches!(
             output,
             Output::Store(_) | Output::Send { .. } | Output::Order(_)
--- a/crates/testing/src/relays/carry.rs
+++ b/crates/testing/src/relays/outputs.rs
@@ -3,7 +3,7 @@
 use knapweeddale_core::input::{AttemptOutcome, AttemptProgress, ProbeState};
 use knapweeddale_core::{AttemptEvent, Dispatch, Input, Output, PeerEvent, SourceRequest, Summary};
 
-use super::{Passed, RelayFleet, Run};
+use super::{ForwardedTokens, RelayFleet, Run};
 
 /// One-way latency between two VMs.
 const LINK_US: u64 = 1_000;
@@ -18,19 +18,19 @@
     /// # Panics
     ///
     /// Panics on an output that only owners produce; VMs under `Coordination::Peers` own nothing.
-    pub(super) fn carry(&mut self, vm: usize, output: Output) {
+    pub(super) fn handle_output(&mut self, vm: usize, output: Output) {
         assert!(
-            !Self::is_foreign(&output),
+            !Self::is_owner_output(&output),
             "vm-{vm} produced an output reserved for owners: {output:?}"
         );
         match output {
-            Output::Source(request) => self.ask(vm, request),
-            Output::SendSummary { address, summary } => self.send(vm, &address, *summary),
+            Output::Source(request) => self.query_store(vm, request),
+            Output::SendSummary { address, summary } => self.send_summary(vm, &address, *summary),
             Output::RequestSnapshot {
                 address,
                 with_programs,
-            } => self.snapshot(vm, &address, with_programs),
-            Output::Dispatch(dispatch) => self.dispatch(vm, dispatch),
+            } => self.request_snapshot(vm, &address, with_programs),
+            Output::Dispatch(dispatch) => self.run_attempt(vm, dispatch),
             Output::Refused(refusal) => {
                 self.open.remove(&refusal.call);
                 self.refusals.push((self.now_us, refusal));
@@ -44,46 +44,46 @@
     }
 
     /// Sends a request to the store and schedules its response, if it has one.
-    fn ask(&mut self, vm: usize, request: SourceRequest) {
+    fn query_store(&mut self, vm: usize, request: SourceRequest) {
         let name = self.vms[vm].name.clone();
-        if let Some(event) = self.store.answer((vm, &name), request, self.now_us) {
+        if let Some(event) = self.store.handle_request((vm, &name), request, self.now_us) {
             self.deliver(vm, STORE_US, Input::Source(event));
         }
     }
 
     /// Returns the VM at `address` if it is up and reachable from `vm`.
-    fn reached(&self, vm: usize, address: &str) -> Option<usize> {
+    fn find_reachable(&self, vm: usize, address: &str) -> Option<usize> {
         let to = self
             .vms
             .iter()
             .position(|row| row.name.as_str() == address)?;
         let is_up = self.vms[to].control.is_some();
-        (is_up && !self.cut.contains(&(vm, to))).then_some(to)
+        (is_up && !self.interrupted_links.contains(&(vm, to))).then_some(to)
     }
 
     /// Sends a summary to another VM; it is lost if that VM is down or unreachable.
-    fn send(&mut self, vm: usize, address: &str, summary: Summary) {
-        if let Some(to) = self.reached(vm, address) {
-            let news = PeerEvent::Summary(Box::new(summary));
-            self.deliver(to, LINK_US, Input::PeerEvent(news));
+    fn send_summary(&mut self, vm: usize, address: &str, summary: Summary) {
+        if let Some(to) = self.find_reachable(vm, address) {
+            let event = PeerEvent::Summary(Box::new(summary));
+            self.deliver(to, LINK_US, Input::PeerEvent(event));
         }
     }
 
     /// Requests a snapshot of another VM's state.
-    fn snapshot(&mut self, vm: usize, address: &str, with_programs: bool) {
+    fn request_snapshot(&mut self, vm: usize, address: &str, with_programs: bool) {
         let sent_us = self.now_us;
-        let news = match self.reached(vm, address) {
+        let event = match self.find_reachable(vm, address) {
             Some(to) => PeerEvent::Snapshot {
                 sent_us,
                 snapshot: Box::new(self.control(to).snapshot(sent_us, with_programs)),
             },
             None => PeerEvent::SnapshotFailed,
         };
-        self.deliver(vm, 2 * LINK_US, Input::PeerEvent(news));
+        self.deliver(vm, 2 * LINK_US, Input::PeerEvent(event));
     }
 
     /// Records an attempt as run and schedules its end; ignores refused calls.
-    fn dispatch(&mut self, vm: usize, dispatch: Dispatch) {
+    fn run_attempt(&mut self, vm: usize, dispatch: Dispatch) {
         let call = dispatch.attempt.call;
         let Some(open) = self.open.get(&call).cloned() else {
             return;
@@ -96,7 +96,7 @@
             upstream: dispatch.upstream.to_string(),
         });
         if let Some((program, ..)) = &open.turn {
-            self.passed.push(Passed {
+            self.forwarded.push(ForwardedTokens {
                 at_us: self.now_us,
                 program: program.clone(),
                 tokens: open.tokens,
--- a/crates/testing/src/relays/store.rs
+++ b/crates/testing/src/relays/store.rs
@@ -10,7 +10,7 @@
 };
 
 /// VMs that restart within this time count as one loss of the fleet's in-memory state.
-const SAME_LOSS_US: u64 = 4_000_000;
+const LOSS_MERGE_WINDOW_US: u64 = 4_000_000;
 
 /// The contents of the store and its availability.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     is_down: bool,
     unreachable: BTreeSet<usize>,
     /// Number of requests that the store served, by kind.
-    pub calls: BTreeMap<&'static str, u64>,
+    pub requests: BTreeMap<&'static str, u64>,
 }
 
 impl StoreState {
@@ -36,7 +36,7 @@
             losses: (0, 0),
             is_down: false,
             unreachable: BTreeSet::new(),
-            calls: BTreeMap::new(),
+            requests: BTreeMap::new(),
         }
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Replaces the upstream list.
-    pub fn list(&mut self, list: UpstreamList) {
+    pub fn set_upstreams(&mut self, list: UpstreamList) {
         self.list = Arc::new(list);
     }
 
@@ -69,17 +69,17 @@
     }
 
     /// Serves a request of a VM; returns `None` if the request has no response.
-    pub(super) fn answer(
+    pub(super) fn handle_request(
         &mut self,
         (vm, name): (usize, &VmName),
         request: SourceRequest,
         now_us: u64,
     ) -> Option<SourceEvent> {
-        let (part, label) = part_of(&request);
+        let (kind, label) = request_kind(&request);
         if self.is_down || self.unreachable.contains(&vm) {
-            return Some(SourceEvent::Failed(part));
+            return Some(SourceEvent::Failed(kind));
         }
-        *self.calls.entry(label).or_default() += 1;
+        *self.requests.entry(label).or_default() += 1;
         Some(match request {
             SourceRequest::Config => SourceEvent::Config {
                 sent_us: now_us,
@@ -113,7 +113,7 @@
                 return None;
             }
             SourceRequest::Losses => {
-                if self.losses.0 == 0 || now_us > self.losses.1 + SAME_LOSS_US {
+                if self.losses.0 == 0 || now_us > self.losses.1 + LOSS_MERGE_WINDOW_US {
                     self.losses = (self.losses.0 + 1, now_us);
                 }
                 SourceEvent::Losses {
@@ -140,7 +140,7 @@
 }
 
 /// Returns the kind of a request and the label under which it is counted.
-fn part_of(request: &SourceRequest) -> (SourceRequestKind, &'static str) {
+fn request_kind(request: &SourceRequest) -> (SourceRequestKind, &'static str) {
     match request {
         SourceRequest::Config => (SourceRequestKind::Config, "config"),
         SourceRequest::Upstreams => (SourceRequestKind::Upstreams, "upstreams"),
