--- a/crates/testing/src/mesh/batch.rs
+++ b/crates/testing/src/mesh/batch.rs
@@ -1,31 +1,31 @@
-//! An engine with continuous batching and a prefix cache of limited size.
+//! Simulates an engine with continuous batching and a bounded prefix cache.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use knapweeddale_core::input::{AttemptOutcome, AttemptProgress};
 use knapweeddale_core::{AttemptId, HistoryDigest, ProgramKey};
 
-/// How an engine behaves.
+/// Timing and capacity of a simulated engine.
 #[derive(Debug, Clone)]
 pub struct BatchModel {
-    /// Time to read one prompt token while nothing is generated.
+    /// Prefill time of one prompt token while no call is decoding.
     pub prefill_us_per_token: f64,
-    /// Time of a step, which generates one token for each call, with one call.
+    /// Duration of a decode step with one call; a step generates one token for each call.
     pub step_us: f64,
-    /// Growth of the step with each further call up to the knee.
+    /// Added to the step for each call after the first, up to `knee_calls`.
     pub step_us_per_call: f64,
-    /// Calls at which the step starts to grow faster.
+    /// Batch size above which the step grows by `step_us_over_knee` for each call.
     pub knee_calls: usize,
-    /// Growth of the step with each call over the knee.
+    /// Added to the step for each call over `knee_calls`.
     pub step_us_over_knee: f64,
-    /// Speed of generation while a prompt is read, and of reading while
-    /// tokens are generated.
+    /// Speed factor of decoding while a prompt is prefilled, and of prefill while
+    /// calls are decoding.
     pub mixed_speed: f64,
-    /// Calls that run at once; more wait in the order of arrival.
+    /// Maximum number of running calls; further calls queue in order of arrival.
     pub max_calls: usize,
-    /// Tokens in memory, of running calls and cached prefixes.
+    /// Memory capacity in tokens, shared by running calls and cached prefixes.
     pub memory_tokens: u64,
-    /// Interval between load reports, which is also their lag.
+    /// Interval between load reports, and the delay of each report.
     pub report_us: u64,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl BatchModel {
-    /// Returns the time of a step with this many calls.
+    /// Returns the duration of a decode step with this many calls.
     pub fn step_us(&self, calls: usize) -> f64 {
         let below = calls.min(self.knee_calls).saturating_sub(1) as f64;
         let above = calls.saturating_sub(self.knee_calls) as f64;
@@ -54,23 +54,23 @@
     }
 }
 
-/// A request at an engine.
+/// A request that is queued or running at an engine.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The attempt.
+    /// The attempt that this request serves.
     pub attempt: AttemptId,
-    /// The program whose prefix it extends.
+    /// The program whose cached prefix the prompt extends; `None` disables caching.
     pub program: Option<ProgramKey>,
-    /// Tokens of the prompt.
+    /// Length of the prompt, cached prefix included.
     pub prompt_tokens: u64,
-    /// Tokens that it will generate.
+    /// Length of the response that the engine will generate.
     pub answer_tokens: u64,
     cached_tokens: u64,
     left_tokens: f64,
 }
 
 impl Job {
-    /// Makes a request.
+    /// Creates a request; a response has at least one token.
     pub fn new(
         attempt: AttemptId,
         program: Option<ProgramKey>,
@@ -87,22 +87,22 @@
         }
     }
 
-    /// Returns the memory that it takes in the end.
+    /// Returns the tokens reserved in memory: the prompt and the whole response.
     fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.answer_tokens
     }
 }
 
-/// An engine with continuous batching and a prefix cache of limited size.
+/// A simulated engine with continuous batching and a bounded LRU prefix cache.
 #[derive(Debug)]
 pub struct BatchEngine {
     model: BatchModel,
     now_us: f64,
     arrived: VecDeque<Job>,
     reading: VecDeque<Job>,
-    /// Generating calls, by the progress at which they end, in thousandths of a token.
+    /// Decoding calls, keyed by the `progress` at which they end, in thousandths of a token.
     generating: BTreeMap<(u64, AttemptId), Job>,
-    /// Tokens that a call generating since the start would have.
+    /// Tokens that a call decoding since the engine was created would have generated.
     progress: f64,
     used_tokens: u64,
     cache: BTreeMap<ProgramKey, (u64, u64)>,
@@ -113,12 +113,12 @@
     reported_tokens: f64,
 }
 
-/// Something that an engine tells about an attempt.
+/// Progress of an attempt at a virtual time in microseconds.
 pub type BatchEvent = (u64, AttemptId, AttemptProgress);
 
 /// # Time
 impl BatchEngine {
-    /// Makes an engine without calls.
+    /// Creates an idle engine.
     pub fn new(model: BatchModel) -> Self {
         Self {
             model,
@@ -137,13 +137,13 @@
         }
     }
 
-    /// Adds a request.
+    /// Enqueues a request.
     pub fn push(&mut self, job: Job) {
         self.arrived.push_back(job);
         self.admit();
     }
 
-    /// Runs up to a time and returns what happened.
+    /// Advances the simulation to `to_us` and returns the progress events up to then.
     pub fn advance(&mut self, to_us: u64) -> Vec<BatchEvent> {
         let mut events = Vec::new();
         while let Some(next_us) = self.next_change_us()
@@ -158,12 +158,12 @@
         events
     }
 
-    /// Returns when something happens next.
+    /// Returns the time of the next event, rounded up; `None` if the engine is idle.
     pub fn next_us(&self) -> Option<u64> {
         self.next_change_us().map(|at_us| at_us.ceil() as u64)
     }
 
-    /// Returns the calls at the engine and the token rate since the last report.
+    /// Returns the queued and running calls, and the tokens per second since the last report.
     pub fn load(&mut self) -> (u32, u64) {
         let tokens = self.generated_tokens - self.reported_tokens;
         self.reported_tokens = self.generated_tokens;
@@ -172,7 +172,7 @@
         (calls as u32, rate as u64)
     }
 
-    /// Returns the tokens that each generating call gains in a microsecond.
+    /// Returns the tokens that each decoding call generates per microsecond.
     fn token_speed(&self) -> f64 {
         let calls = self.generating.len();
         let factor = if self.reading.is_empty() {
@@ -183,7 +183,7 @@
         factor / self.model.step_us(calls)
     }
 
-    /// Returns the prompt tokens that are read in a microsecond.
+    /// Returns the prompt tokens that are prefilled per microsecond.
     fn read_speed(&self) -> f64 {
         let factor = if self.generating.is_empty() {
             1.0
@@ -193,7 +193,7 @@
         factor / self.model.prefill_us_per_token
     }
 
-    /// Returns when a call starts or ends generating.
+    /// Returns the next time at which a call finishes prefill or decoding.
     fn next_change_us(&self) -> Option<f64> {
         let read_us = self
             .reading
@@ -209,7 +209,7 @@
         Some(self.now_us + wait_us)
     }
 
-    /// Lets time pass in which no call starts or ends generating.
+    /// Advances the clock over an interval in which no call finishes prefill or decoding.
     fn pass_time(&mut self, to_us: f64) {
         let elapsed_us = (to_us - self.now_us).max(0.0);
         let gained = elapsed_us * self.token_speed();
@@ -224,7 +224,7 @@
         self.now_us = self.now_us.max(to_us);
     }
 
-    /// Moves prompts that are read on to generation.
+    /// Moves calls whose prompt is fully prefilled to decoding.
     fn finish_reading(&mut self, events: &mut Vec<BatchEvent>) {
         while let Some(job) = self.reading.front()
             && job.left_tokens <= 1e-3
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Ends calls that have generated all tokens.
+    /// Completes calls that have generated their whole response and caches their prefixes.
     fn finish_generating(&mut self, events: &mut Vec<BatchEvent>) {
         while let Some(entry) = self.generating.first_entry() {
             if entry.key().0 as f64 / 1_000.0 > self.progress + 1e-3 {
@@ -263,7 +263,7 @@
 
 /// # Memory
 impl BatchEngine {
-    /// Admits calls in the order of arrival while there is room.
+    /// Admits queued calls in order of arrival while the call and memory limits allow.
     fn admit(&mut self) {
         while let Some(job) = self.arrived.front() {
             let calls = self.reading.len() + self.generating.len();
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Takes the cached prefix of a request out of the cache.
+    /// Removes the cached prefix of a request and returns how many prompt tokens it covers.
     fn take(&mut self, job: &Job) -> u64 {
         let Some(program) = &job.program else {
             return 0;
@@ -296,7 +296,7 @@
         tokens.min(job.prompt_tokens)
     }
 
-    /// Keeps the prefix of a finished request.
+    /// Caches the prefix of a finished request.
     fn store(&mut self, job: Job) {
         let tokens = job.memory_tokens();
         let Some(program) = job.program else {
@@ -312,7 +312,7 @@
         self.evict();
     }
 
-    /// Drops the prefixes that were not used for the longest time.
+    /// Evicts the least recently used prefixes until the memory limit holds.
     fn evict(&mut self) {
         while self.used_tokens + self.cached_tokens > self.model.memory_tokens {
             let Some((_, program)) = self.by_use.pop_first() else {
--- a/crates/testing/src/mesh/batches.rs
+++ b/crates/testing/src/mesh/batches.rs
@@ -1,19 +1,19 @@
-//! Engines with batches in the mesh.
+//! Connects the batching engines to the events of the mesh.
 
 use knapweeddale_core::{AttemptEvent, Input, UpstreamName};
 
 use super::batch::BatchModel;
 use super::{Event, Mesh};
 
-/// # Engines with batches
+/// # Batching engines
 impl Mesh {
-    /// Replaces the simple engines by engines with batches and prefix caches.
+    /// Replaces the simple engines by engines with continuous batching and prefix caches.
     pub fn use_batches(&mut self, model: BatchModel) {
         self.engines.use_batches(model);
         self.report_load();
     }
 
-    /// Runs an engine with a batch up to the present and plans its next event.
+    /// Advances a batching engine to the current time and schedules its next event.
     pub(super) fn run_engine(&mut self, upstream: &UpstreamName) {
         let (events, next_us) = self.engines.advance(self.now_us, upstream);
         for (at_us, attempt, progress) in events {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Sends the load of the engines with batches, one interval late.
+    /// Sends the load of each batching engine to all VMs, delayed by one report interval.
     pub(super) fn report_load(&mut self) {
         let Some(report_us) = self.engines.report_us() else {
             return;
--- a/crates/testing/src/mesh/engine.rs
+++ b/crates/testing/src/mesh/engine.rs
@@ -1,4 +1,4 @@
-//! Upstreams of the mesh.
+//! Simulates the upstreams of the mesh.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -7,16 +7,16 @@
 use knapweeddale_core::tables::Call;
 use knapweeddale_core::{AttemptId, ContentDigest, Dispatch, HistoryDigest, NewCall, UpstreamName};
 
-/// How an upstream behaves.
+/// Timing of a simulated upstream.
 #[derive(Debug, Clone)]
 pub struct EngineModel {
-    /// Time to read one prompt token.
+    /// Prefill time of one prompt token.
     pub prefill_us_per_token: u64,
-    /// Time to generate one token while nothing else runs.
+    /// Decode time of one token for a call that runs alone.
     pub decode_us_per_token: u64,
-    /// Growth of the time for each further call in the batch, in percent.
+    /// Increase of the decode time for each further running call, in percent.
     pub batch_percent: u64,
-    /// Time after a crash until the upstream takes requests again.
+    /// Time after a crash until the upstream accepts requests again.
     pub restart_us: u64,
 }
 
@@ -31,18 +31,18 @@
     }
 }
 
-/// The upstreams of the mesh.
+/// All simulated upstreams and the faults injected into them.
 #[derive(Debug, Default)]
 pub struct Engines {
-    /// How all upstreams behave.
+    /// Timing of all upstreams, unless batching engines replace them.
     pub model: EngineModel,
-    /// Contents that crash each upstream that runs them.
+    /// Digests of requests that crash any upstream that runs them.
     pub poison: HashSet<ContentDigest>,
-    /// Upstreams that answer no releases of memory.
+    /// Upstreams that ignore requests to release memory.
     pub silent: HashSet<UpstreamName>,
-    /// Upstreams that answer every request with an error.
+    /// Upstreams that answer every request with status 500.
     pub failing: BTreeSet<UpstreamName>,
-    /// Crashes so far, by upstream.
+    /// Number of crashes of each upstream.
     pub crashes: BTreeMap<UpstreamName, u64>,
     running: BTreeMap<UpstreamName, BTreeMap<AttemptId, u64>>,
     down_until_us: BTreeMap<UpstreamName, u64>,
@@ -52,15 +52,15 @@
     batches: BTreeMap<UpstreamName, Batch>,
 }
 
-/// An engine with a batch.
+/// A batching engine and its scheduled event.
 #[derive(Debug)]
 struct Batch {
     engine: BatchEngine,
-    /// The next event that is planned.
+    /// Time of the scheduled `Event::Engine`, if any.
     planned_us: Option<u64>,
 }
 
-/// Returns the digest of the history that a call to a model leads to.
+/// Returns the digest of the conversation history after a call.
 pub fn history_after(call: &NewCall) -> HistoryDigest {
     let program = call.program.as_ref();
     let before = program.and_then(|program| program.continuation.as_ref());
@@ -72,17 +72,17 @@
     HistoryDigest(digest)
 }
 
-/// What running an attempt leads to.
+/// The result of running an attempt.
 #[derive(Debug)]
 pub(super) struct Run {
     /// Whether the upstream ran the request.
     pub executed: bool,
-    /// Events with the time at which they happen.
+    /// Progress events with their virtual times in microseconds.
     pub events: Vec<(u64, AttemptId, AttemptProgress)>,
 }
 
 impl Engines {
-    /// Runs an attempt.
+    /// Runs an attempt and returns its progress events, future ones included.
     pub(super) fn run(
         &mut self,
         now_us: u64,
@@ -145,11 +145,11 @@
         }
     }
 
-    /// Adds an attempt to the batch of its engine.
+    /// Enqueues an attempt at its batching engine.
     ///
-    /// The second half of the content digest tells the length of the
-    /// response, which the scheduler does not know; if it is 0, the response
-    /// has the highest allowed length.
+    /// The second half of the content digest encodes the length of the
+    /// response, which the scheduler does not know. If it is 0, the response
+    /// has the maximum length that the request allows.
     fn run_in_batch(&mut self, now_us: u64, dispatch: &Dispatch, call: &Call) -> Run {
         let mut tail = [0; 8];
         tail.copy_from_slice(&call.request.digest.0[8..]);
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Returns an engine with a batch.
+    /// Returns the batching engine of an upstream, creating it on first use.
     fn batch(&mut self, upstream: &UpstreamName) -> &mut Batch {
         let model = self.batch_model.clone().unwrap_or_default();
         let batches = &mut self.batches;
@@ -181,23 +181,23 @@
         })
     }
 
-    /// Replaces the simple engines by engines with batches.
+    /// Replaces the simple engines by batching engines.
     pub(super) fn use_batches(&mut self, model: BatchModel) {
         self.batch_model = Some(model);
     }
 
-    /// Returns whether the engines have batches.
+    /// Returns whether batching engines are used.
     pub(super) fn has_batches(&self) -> bool {
         self.batch_model.is_some()
     }
 
-    /// Returns the interval between load reports of engines with batches.
+    /// Returns the interval between load reports; `None` without batching engines.
     pub(super) fn report_us(&self) -> Option<u64> {
         self.batch_model.as_ref().map(|model| model.report_us)
     }
 
-    /// Runs an engine with a batch; returns its events and the time of the
-    /// next one if that has to be planned.
+    /// Advances a batching engine to `now_us`. Returns its events, and the time of
+    /// the next one if it isn't scheduled yet.
     pub(super) fn advance(
         &mut self,
         now_us: u64,
@@ -222,17 +222,17 @@
         (events, next_us)
     }
 
-    /// Returns the prompt tokens that engines with batches found in their caches.
+    /// Returns the prompt tokens that batching engines served from their prefix caches.
     pub fn prompt_tokens_found(&self) -> u64 {
         self.found_tokens
     }
 
-    /// Returns the names of the engines with batches that have had calls.
+    /// Returns the upstreams whose batching engine has been created.
     pub(super) fn batch_names(&self) -> Vec<UpstreamName> {
         self.batches.keys().cloned().collect()
     }
 
-    /// Returns the load of the engines with batches.
+    /// Returns the running calls and tokens per second of each batching engine.
     pub(super) fn loads(&mut self) -> Vec<(UpstreamName, u32, u64)> {
         let rows = self.batches.iter_mut().map(|(upstream, batch)| {
             let (running_calls, tokens_per_s) = batch.engine.load();
@@ -241,7 +241,7 @@
         rows.collect()
     }
 
-    /// Crashes an upstream with everything that runs on it.
+    /// Crashes an upstream: all attempts on it fail and it is down for `restart_us`.
     fn crash(&mut self, now_us: u64, dispatch: &Dispatch) -> Run {
         let upstream = &dispatch.upstream;
         let batch = self.running.remove(upstream).unwrap_or_default();
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Probes an upstream after a connection to it broke.
+    /// Returns the state that a probe sees; a restart stays visible for 5 s.
     pub(super) fn probe(&self, now_us: u64, upstream: &UpstreamName) -> ProbeState {
         match self.down_until_us.get(upstream) {
             Some(&until_us) if now_us < until_us => ProbeState::Down,
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Returns how many calls run on an upstream.
+    /// Returns the number of calls running on a simple upstream.
     pub(super) fn running_calls(&self, now_us: u64, upstream: &UpstreamName) -> u32 {
         let batch = self.running.get(upstream);
         let running = batch.map_or(0, |batch| {
@@ -280,7 +280,7 @@
         running as u32
     }
 
-    /// Stops an attempt.
+    /// Cancels an attempt, so that a crash no longer reports it as lost.
     pub(super) fn cancel(&mut self, attempt: AttemptId) {
         self.cancelled.insert(attempt);
     }
--- a/crates/testing/src/mesh/faults.rs
+++ b/crates/testing/src/mesh/faults.rs
@@ -1,19 +1,19 @@
-//! Faults of the links between VMs.
+//! Fault injection on the links between VMs.
 
 use smallvec::SmallVec;
 
 use crate::Random;
 
-/// Faults of the links between VMs.
+/// Delay, loss and duplication of the messages between VMs.
 #[derive(Debug, Clone)]
 pub struct Faults {
-    /// Shortest delay of a message.
+    /// Minimum delay of a message.
     pub min_delay_us: u64,
-    /// Longest delay of a message; different delays reorder messages.
+    /// Maximum delay of a message; varying delays reorder messages.
     pub max_delay_us: u64,
-    /// Messages lost, of 1,000.
+    /// Messages lost per 1,000.
     pub lost_per_mille: u64,
-    /// Messages delivered twice, of 1,000.
+    /// Messages delivered twice per 1,000.
     pub doubled_per_mille: u64,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Faults {
-    /// Returns the delays after which a message arrives; none if it is lost.
+    /// Returns the delay of each delivery of a message; empty if it is lost.
     pub(super) fn deliveries(&self, random: &mut Random) -> SmallVec<[u64; 2]> {
         let mut delays_us = SmallVec::new();
         if random.per_mille(self.lost_per_mille) {
--- a/crates/testing/src/mesh/mod.rs
+++ b/crates/testing/src/mesh/mod.rs
@@ -1,9 +1,9 @@
-//! Several VMs in one process that exchange messages in virtual time.
+//! Simulates several VMs in one process that exchange messages in virtual time.
 //!
-//! The mesh carries the outputs of each `Control` to their receivers, with
+//! The mesh delivers the outputs of each `Control` to their receivers with
 //! seeded delay, loss, duplication and reordering, and lets tests pause,
-//! crash, restart and partition VMs and stop the store. Every event that an
-//! invariant needs is kept in a trace.
+//! crash, restart and partition VMs and stop the store. Every event that
+//! invariant checks need is recorded in a trace.
 
 mod batch;
 mod batches;
@@ -39,16 +39,16 @@
 
 use crate::Random;
 
-/// Something that happens at a virtual time.
+/// An event scheduled at a virtual time.
 #[derive(Debug)]
 enum Event {
-    /// An input reaches a VM, unless it has restarted since.
+    /// An input reaches a VM; dropped if the VM has restarted since.
     Input {
         vm: usize,
         incarnation: Incarnation,
         input: Box<Input>,
     },
-    /// A VM has to run its systems.
+    /// A deadline of a VM expires and its systems run.
     Wake { vm: usize },
     /// A request reaches the store.
     Store {
@@ -56,16 +56,16 @@
         incarnation: Incarnation,
         sent_us: u64,
         request: StoreRequest,
-        /// Whether the VM has given up waiting for the answer.
+        /// Whether the VM's request has timed out; the response is then dropped.
         is_late: bool,
     },
     /// The platform publishes a list of VMs.
     VmList(Vec<ListedVm>),
-    /// Something happens at an engine with a batch.
+    /// A batching engine has events due.
     Engine { upstream: UpstreamName },
-    /// The engines with batches report their load.
+    /// The batching engines report their load.
     Load,
-    /// An order reaches an engine.
+    /// A model order reaches an engine.
     Order {
         vm: usize,
         incarnation: Incarnation,
@@ -73,7 +73,7 @@
     },
 }
 
-/// A VM of the mesh.
+/// A simulated VM.
 #[derive(Debug)]
 struct Vm {
     name: VmName,
@@ -81,19 +81,19 @@
     control: Option<Control>,
     incarnation: Incarnation,
     paused_until_us: u64,
-    /// The VM's clock starts here; clocks of VMs are not comparable.
+    /// Initial value of the VM's clock; the clocks of VMs are not comparable.
     clock_offset_us: u64,
-    /// How far the VM's clock moves in a million microseconds.
+    /// How far the VM's clock advances in a million microseconds of virtual time.
     clock_rate_ppm: u64,
     traffic: Traffic,
     next_wake_us: Option<u64>,
     next_call: u64,
 }
 
-/// A condition with the number of messages that are still lost to it.
+/// A predicate and how many more of the messages that match it are dropped.
 pub type LoseNext = (fn(&PeerMessage) -> bool, u32);
 
-/// Several VMs in one process.
+/// A simulated network of VMs with their store, platform and upstreams.
 pub struct Mesh {
     vms: Vec<Vm>,
     numbers: HashMap<VmName, usize>,
@@ -106,17 +106,17 @@
     blocked: HashSet<(usize, usize)>,
     /// Faults of the links between VMs.
     pub faults: Faults,
-    /// Conditions with the number of messages between VMs that are lost to each.
+    /// Rules that drop the next matching messages between VMs.
     pub lose_next: Vec<LoseNext>,
-    /// The store that holds the view.
+    /// The platform's store, which holds the view.
     pub store: ViewStore,
     /// The platform's list of VMs.
     pub platform: Platform,
-    /// What engines have been ordered to do.
+    /// The models loaded on engines and the orders that changed them.
     pub orders: OrderDesk,
-    /// The upstreams.
+    /// The simulated upstreams.
     pub engines: Engines,
-    /// What happened so far.
+    /// The events recorded so far.
     pub trace: Trace,
 }
 
@@ -131,7 +131,7 @@
 
 /// # Construction
 impl Mesh {
-    /// Makes a mesh with default settings for each VM and starts all VMs.
+    /// Creates a mesh with default settings for each VM and starts all VMs.
     pub fn new(vms: usize, fleet: FleetConfig, seed: u64) -> Self {
         Self::with_settings(vms, fleet, seed, |vm, incarnation| {
             CoreSettings::builder()
@@ -142,7 +142,7 @@
         })
     }
 
-    /// Makes a mesh whose VMs are in several failure domains and know each other's names.
+    /// Creates a mesh whose VMs are spread over failure domains and know each other's names.
     pub fn with_domains(vms: usize, domains: usize, fleet: FleetConfig, seed: u64) -> Self {
         let peers: Vec<_> = (0..vms)
             .map(|number| VmName::from(format!("vm-{number}")))
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Makes a mesh with settings chosen for each start of a VM.
+    /// Creates a mesh; `settings` is called for each incarnation of a VM.
     pub fn with_settings(
         vms: usize,
         fleet: FleetConfig,
@@ -207,13 +207,13 @@
         mesh
     }
 
-    /// Starts a VM again after a crash.
+    /// Restarts a VM after a crash.
     pub fn restart(&mut self, vm: usize) {
         self.start(vm);
         self.publish_list();
     }
 
-    /// Starts the process of a VM.
+    /// Starts a new incarnation of a VM.
     fn start(&mut self, vm: usize) {
         let incarnation = Incarnation(((vm as u64 + 1) << 48) | (self.now_us + 1));
         let row = &mut self.vms[vm];
@@ -229,9 +229,9 @@
         }
     }
 
-    /// Lets the clock of a VM run fast or slow, by parts in a million.
+    /// Sets the rate of a VM's clock in parts per million; 1,000,000 is exact.
     ///
-    /// Call it before the first step of the mesh.
+    /// Must be called before the mesh first runs.
     pub fn set_clock_rate(&mut self, vm: usize, ppm: u64) {
         self.vms[vm].clock_rate_ppm = ppm;
     }
@@ -239,7 +239,7 @@
 
 /// # Faults
 impl Mesh {
-    /// Kills a VM; what it has not sent is lost.
+    /// Crashes a VM; its state and all inputs in flight to it are lost.
     pub fn crash(&mut self, vm: usize) {
         self.vms[vm].control = None;
         let name = self.vms[vm].name.clone();
@@ -248,7 +248,7 @@
         self.publish_list();
     }
 
-    /// Stops a VM for a time; its inputs wait.
+    /// Pauses a VM for `for_us`; its inputs are deferred until it resumes.
     pub fn pause(&mut self, vm: usize, for_us: u64) {
         self.vms[vm].paused_until_us = self.now_us + for_us;
     }
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Ends all partitions.
+    /// Removes all partitions.
     pub fn heal(&mut self) {
         self.blocked.clear();
     }
@@ -271,9 +271,9 @@
 
 /// # Inputs
 impl Mesh {
-    /// Sends a call to a VM and returns its identity.
+    /// Sends a call to a VM and returns the ID assigned to it.
     ///
-    /// The identity in `call` is replaced.
+    /// The ID in `call` is replaced.
     pub fn call(&mut self, vm: usize, mut call: NewCall) -> CallId {
         let row = &mut self.vms[vm];
         row.next_call += 1;
@@ -291,9 +291,9 @@
         id
     }
 
-    /// Sends a request about a program to a VM and returns its identity.
+    /// Sends a program request to a VM and returns the ID assigned to it.
     ///
-    /// The identity in `request` is replaced.
+    /// The ID in `request` is replaced.
     pub fn program(&mut self, vm: usize, mut request: ProgramRequest) -> CallId {
         let row = &mut self.vms[vm];
         row.next_call += 1;
@@ -306,12 +306,12 @@
         id
     }
 
-    /// Hands an input to a VM at once.
+    /// Delivers an input to a VM without delay.
     pub fn input(&mut self, vm: usize, input: Input) {
         self.deliver(vm, self.now_us, input);
     }
 
-    /// Publishes a configuration to one VM, as its watch would.
+    /// Delivers a configuration to one VM, as its watch would; VMs that start later read it too.
     pub fn publish(&mut self, vm: usize, fleet: FleetConfig) {
         self.fleet = Arc::new(fleet);
         self.deliver(vm, self.now_us, Input::Config(self.fleet.clone()));
@@ -320,17 +320,17 @@
 
 /// # Time
 impl Mesh {
-    /// Returns the virtual time.
+    /// Returns the current virtual time.
     pub fn now_us(&self) -> u64 {
         self.now_us
     }
 
-    /// Runs everything that happens in the next `ms` milliseconds.
+    /// Runs all events of the next `ms` milliseconds.
     pub fn run_ms(&mut self, ms: u64) {
         self.run_until(self.now_us + ms * 1_000);
     }
 
-    /// Runs everything that happens up to a time.
+    /// Runs all events up to `until_us`, inclusive.
     pub fn run_until(&mut self, until_us: u64) {
         while let Some(entry) = self.events.first_entry() {
             let (at_us, _) = *entry.key();
@@ -398,7 +398,7 @@
         }
     }
 
-    /// Runs the systems of a VM and carries its outputs.
+    /// Runs the systems of a VM and dispatches its outputs.
     fn tick(&mut self, vm: usize, input: Option<Input>) {
         let local_us = self.local_us(vm);
         let mut outputs = Vec::new();
@@ -416,7 +416,7 @@
         self.plan_wake(vm);
     }
 
-    /// Plans the next wake of a VM.
+    /// Schedules a wake at the next deadline of a VM, converted to virtual time.
     fn plan_wake(&mut self, vm: usize) {
         let row = &self.vms[vm];
         let Some(control) = &row.control else {
@@ -437,7 +437,7 @@
 
 /// # Events
 impl Mesh {
-    /// Plans an input of a VM.
+    /// Schedules an input for the current incarnation of a VM.
     fn deliver(&mut self, vm: usize, at_us: u64, input: Input) {
         let event = Event::Input {
             vm,
@@ -447,34 +447,34 @@
         self.schedule(at_us, event);
     }
 
-    /// Plans an event.
+    /// Schedules an event; events at the same time run in the order of scheduling.
     fn schedule(&mut self, at_us: u64, event: Event) {
         self.next_event += 1;
         self.events.insert((at_us, self.next_event), event);
     }
 
-    /// Returns the control value of a VM that is not crashed.
+    /// Returns the control state of a VM; `None` while it is crashed.
     pub fn control(&self, vm: usize) -> Option<&Control> {
         self.vms[vm].control.as_ref()
     }
 
-    /// Returns the present start of a VM.
+    /// Returns the current incarnation of a VM.
     pub fn incarnation(&self, vm: usize) -> Incarnation {
         self.vms[vm].incarnation
     }
 
-    /// Returns the home of a program in the view of a VM.
+    /// Returns the index of a program's home in the view of a VM.
     pub fn home_of(&self, vm: usize, program: &ProgramKey) -> Option<usize> {
         let view = &self.control(vm)?.tables().view;
         self.index(view.program_home(program)?)
     }
 
-    /// Returns the number of a VM.
+    /// Returns the index of a VM.
     pub fn index(&self, vm: &VmName) -> Option<usize> {
         self.numbers.get(vm).copied()
     }
 
-    /// Returns the present time on the clock of a VM.
+    /// Returns the current time on the clock of a VM.
     pub fn local_us(&self, vm: usize) -> u64 {
         let row = &self.vms[vm];
         self.now_us * row.clock_rate_ppm / 1_000_000 + row.clock_offset_us
--- a/crates/testing/src/mesh/orders.rs
+++ b/crates/testing/src/mesh/orders.rs
@@ -1,4 +1,4 @@
-//! Engines of the mesh that take orders to load and unload models.
+//! Simulates engines that execute orders to load and unload models.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,24 @@
 
 use super::{Event, Mesh};
 
-/// What engines have been ordered to do.
+/// The models loaded on engines and the orders that changed them.
 #[derive(Debug, Default)]
 pub struct OrderDesk {
-    /// Models that each engine has loaded; only these engines report them.
+    /// Models loaded on each engine; only engines with an entry report their models.
     pub loaded: BTreeMap<UpstreamName, Vec<ModelName>>,
-    /// Engines that ignore fencing tokens.
+    /// Engines that don't check fencing tokens.
     pub unfenced: Vec<UpstreamName>,
-    /// How long an order is on its way.
+    /// Delay of an order on its way to the engine; at least 1 ms.
     pub delay_us: u64,
-    /// Answers that are lost, of 1,000.
+    /// Responses lost per 1,000 orders.
     pub lost_answers_per_mille: u64,
-    /// Orders that took effect, with their time.
+    /// Executed orders with their virtual times in microseconds.
     pub executed: Vec<(u64, Order)>,
     last: BTreeMap<UpstreamName, FencingToken>,
 }
 
 impl OrderDesk {
-    /// Carries out an order, unless its token is old.
+    /// Executes an order; one with a stale fencing token is rejected.
     fn execute(&mut self, now_us: u64, order: &Order) -> OrderResult {
         let last = self.last.get(&order.upstream).copied().unwrap_or_default();
         if !self.unfenced.contains(&order.upstream) && order.token < last {
@@ -46,7 +46,7 @@
 
 /// # Orders
 impl Mesh {
-    /// Sends an order on its way, unless the VM may no longer send it.
+    /// Sends an order to its engine, unless its validity has expired on the VM's clock.
     pub(super) fn send_order(&mut self, vm: usize, order: Order) {
         if self.local_us(vm) >= order.valid_until_us {
             return;
@@ -62,7 +62,7 @@
         self.schedule(at_us, event);
     }
 
-    /// Lets an engine carry out an order and answers its sender.
+    /// Executes an order that reached its engine and responds to the VM that sent it.
     pub(super) fn arrive_order(
         &mut self,
         vm: usize,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Lets all engines report their models to all VMs.
+    /// Sends the loaded models and running calls of each engine to all VMs.
     pub fn report_models(&mut self) {
         for (upstream, models) in self.orders.loaded.clone() {
             let running_calls = self.engines.running_calls(self.now_us, &upstream);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Runs for a time in which the engines report their models every second.
+    /// Runs for `ms` milliseconds while the engines report their models every second.
     pub fn run_with_reports_ms(&mut self, ms: u64) {
         let end_us = self.now_us + ms * 1_000;
         while self.now_us < end_us {
--- a/crates/testing/src/mesh/outputs.rs
+++ b/crates/testing/src/mesh/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries the outputs of VMs to their receivers.
+//! Dispatches the outputs of VMs to their receivers.
 
 use knapweeddale_core::{
     AttemptEvent, CallId, Dispatch, Input, Output, PeerMessage, ProgramKey, UpstreamName, VmName,
@@ -8,7 +8,7 @@
 
 /// # Outputs
 impl Mesh {
-    /// Carries an output of a VM to its receiver.
+    /// Records an output of a VM in the trace and dispatches it to its receiver.
     pub(super) fn carry(&mut self, vm: usize, output: Output) {
         let name = self.vms[vm].name.clone();
         self.trace.output(self.now_us, &name, &output);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Sends a message between two VMs through the faults of the link.
+    /// Sends a message from one VM to another, subject to partitions, drop rules and link faults.
     pub(super) fn send(&mut self, from: usize, to: &VmName, message: PeerMessage) {
         let Some(to) = self.index(to) else {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Lets an engine release memory and confirm it through the faults of the link.
+    /// Releases a program's memory on an engine; the confirmation is subject to link faults.
     pub(super) fn release(
         &mut self,
         vm: usize,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns whether an engine answers no releases.
+    /// Returns whether an engine ignores requests to release memory.
     pub(super) fn is_silent(&self, upstream: &UpstreamName) -> bool {
         self.engines.silent.contains(upstream)
     }
@@ -107,7 +107,7 @@
             return;
         };
         if self.engines.has_batches() {
-            // The engine has to be at the present before it gets a request.
+            // The engine must be at the current time before a request is enqueued.
             self.run_engine(&dispatch.upstream);
         }
         let run = self.engines.run(self.now_us, local_us, &dispatch, &call);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Returns the VM that received a call.
+    /// Returns the entry VM of a call; `None` if it has restarted since.
     pub(super) fn vm_of(&self, call: CallId) -> Option<usize> {
         self.vms
             .iter()
--- a/crates/testing/src/mesh/platform.rs
+++ b/crates/testing/src/mesh/platform.rs
@@ -1,16 +1,16 @@
-//! The platform's list of VMs.
+//! Simulates the platform's list of VMs.
 
 use knapweeddale_core::VmName;
 use knapweeddale_core::input::ListedVm;
 
 use super::{Event, Mesh};
 
-/// The platform's list of VMs, which lags.
+/// The platform's list of VMs, which is published with a delay.
 #[derive(Debug, Clone)]
 pub struct Platform {
-    /// Time after which the list shows that a VM started or went.
+    /// Delay until the list shows that a VM started or crashed.
     pub lag_us: u64,
-    /// The list that a VM gets when it starts.
+    /// The last published list, which a VM receives when it starts.
     pub(super) published: Vec<ListedVm>,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns the entry of a VM.
+/// Returns the list entry of a VM.
 pub(super) fn status(vm: &VmName) -> ListedVm {
     ListedVm {
         vm: vm.clone(),
@@ -34,7 +34,7 @@
 
 /// # Platform
 impl Mesh {
-    /// Plans a list of the VMs that run now.
+    /// Schedules the publication of the VMs that are running now.
     pub(super) fn publish_list(&mut self) {
         let running = self.vms.iter().filter(|vm| vm.control.is_some());
         let list: Vec<_> = running.map(|vm| status(&vm.name)).collect();
--- a/crates/testing/src/mesh/store.rs
+++ b/crates/testing/src/mesh/store.rs
@@ -1,4 +1,4 @@
-//! The view object of the platform's store.
+//! Simulates the view object in the platform's store.
 
 use std::collections::HashSet;
 
@@ -8,24 +8,24 @@
 
 use crate::Random;
 
-/// The view object of the platform's store, with its faults.
+/// The view object in the platform's store and the faults injected into the store.
 #[derive(Debug, Clone)]
 pub struct ViewStore {
-    /// The present object.
+    /// The current object; `None` until the first write.
     pub stored: Option<StoredView>,
-    /// Whether the store answers nobody.
+    /// Whether the store is unavailable to all VMs.
     pub is_down: bool,
     /// VMs that cannot reach the store.
     pub cut_off: HashSet<usize>,
-    /// Answers lost after the write took effect, of 1,000.
+    /// Responses lost per 1,000 requests, after a write has taken effect.
     pub lost_answers_per_mille: u64,
-    /// Requests that take effect only after the VM has given up waiting, of 1,000.
+    /// Requests per 1,000 whose response is replaced by a timeout and that take effect late.
     pub late_per_mille: u64,
-    /// How late such a request takes effect at most.
+    /// Maximum delay of a late request.
     pub latest_us: u64,
-    /// Time after which a VM gives up waiting.
+    /// Time after which a VM's request to the store times out.
     pub timeout_us: u64,
-    /// Requests that were sent to the store.
+    /// Number of requests that reached the store, failed ones included.
     pub requests: u64,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl ViewStore {
-    /// Handles a request.
+    /// Executes a request and returns its response, or `Unavailable` on an injected fault.
     pub(super) fn handle(
         &mut self,
         vm: usize,
@@ -81,7 +81,7 @@
         answer
     }
 
-    /// Writes the object if it has the expected version.
+    /// Writes the object if it has the expected version; returns `None` otherwise.
     fn put(&mut self, view: View, expected_version: u64) -> Option<StoredView> {
         let version = self.stored.as_ref().map_or(0, |stored| stored.version);
         if version != expected_version {
--- a/crates/testing/src/mesh/store_link.rs
+++ b/crates/testing/src/mesh/store_link.rs
@@ -1,4 +1,4 @@
-//! Requests of VMs to the store of the mesh.
+//! Carries requests from VMs to the store and its responses back.
 
 use knapweeddale_core::{Incarnation, Input, StoreEvent, StoreRequest};
 
@@ -6,7 +6,7 @@
 
 /// # Store
 impl Mesh {
-    /// Sends a request to the store.
+    /// Sends a request to the store, which it reaches after 1 to 4 ms.
     pub(super) fn ask_store(&mut self, vm: usize, request: StoreRequest) {
         let event = Event::Store {
             vm,
@@ -19,7 +19,7 @@
         self.schedule(self.now_us + delay_us, event);
     }
 
-    /// Lets the store handle a request and sends its answer back.
+    /// Executes a request that reached the store and sends the response back.
     pub(super) fn answer_store(
         &mut self,
         vm: usize,
--- a/crates/testing/src/mesh/trace.rs
+++ b/crates/testing/src/mesh/trace.rs
@@ -1,4 +1,4 @@
-//! What happened in a mesh.
+//! Records the events of a mesh for invariant checks.
 
 use knapweeddale_core::input::{Continuation, Permit};
 use knapweeddale_core::{
@@ -11,27 +11,27 @@
 pub enum TraceEvent {
     /// A call arrived at a VM.
     Arrived {
-        /// The VM.
+        /// The entry VM of the call.
         vm: VmName,
-        /// The call.
+        /// The call with its assigned ID.
         call: Box<NewCall>,
     },
-    /// A call was admitted within its account's rate.
+    /// A call was admitted within its client account's rate.
     Admitted {
-        /// The VM.
+        /// The VM that admitted the call.
         vm: VmName,
-        /// The call.
+        /// The admitted call.
         call: CallId,
-        /// The account.
+        /// The client account whose rate it used.
         account: AccountName,
     },
     /// An upstream ran a request.
     Executed {
         /// The entry VM of the call.
         vm: VmName,
-        /// The dispatch.
+        /// The dispatch that started the attempt.
         dispatch: Box<Dispatch>,
-        /// The call.
+        /// The request that the upstream ran.
         call: Box<NewCall>,
     },
     /// A call was answered.
@@ -42,53 +42,53 @@
     Replayed {
         /// The resent call.
         call: CallId,
-        /// The VM that keeps the response.
+        /// The VM that stores the response.
         vm: VmName,
-        /// The call that ran.
+        /// The earlier call, whose response was repeated.
         original: CallId,
-        /// The state that the caller carries to the next turn.
+        /// The state that the caller sends with its next turn.
         continuation: Box<Continuation>,
-        /// The permit for a next turn that may not be repeated.
+        /// The permit for the next turn if that turn must not be repeated.
         permit: Option<Box<Permit>>,
     },
     /// A permit was issued.
     PermitIssued {
-        /// The request.
+        /// The ID of the request for the permit.
         request: CallId,
-        /// The permit.
+        /// The issued permit.
         permit: Box<Permit>,
     },
-    /// A program was ended by its caller.
+    /// A caller ended its program.
     ProgramEnded {
-        /// The request.
+        /// The ID of the request to end it.
         request: CallId,
     },
     /// An engine released the memory of a program.
     Released {
-        /// The engine.
+        /// The upstream whose engine released it.
         upstream: UpstreamName,
-        /// The program.
+        /// The program whose memory was released.
         program: ProgramKey,
-        /// Its generation.
+        /// The generation of the memory that was released.
         generation: u64,
     },
     /// A charge record was made.
     Charged(Charge),
     /// A VM crashed.
     Crashed {
-        /// The VM.
+        /// The VM that crashed.
         vm: VmName,
     },
     /// Any other decision of a VM.
     Decided {
-        /// The VM.
+        /// The VM that made the decision.
         vm: VmName,
         /// The decision.
         decision: Decision,
     },
 }
 
-/// Events in the order of their time.
+/// The recorded events of a mesh, in the order of recording.
 #[derive(Debug, Clone, Default)]
 pub struct Trace {
     /// The events with their virtual time in microseconds.
@@ -96,12 +96,12 @@
 }
 
 impl Trace {
-    /// Adds an event.
+    /// Records an event.
     pub(super) fn push(&mut self, at_us: u64, event: TraceEvent) {
         self.events.push((at_us, event));
     }
 
-    /// Adds what an output of a VM says.
+    /// Records an output of a VM, unless no invariant check needs it.
     pub(super) fn output(&mut self, at_us: u64, vm: &VmName, output: &Output) {
         let vm = vm.clone();
         let event = match output {
@@ -140,7 +140,7 @@
         self.push(at_us, event);
     }
 
-    /// Returns the response to a call.
+    /// Returns the response to a call, if it was answered.
     pub fn answer(&self, call: CallId) -> Option<&Answered> {
         self.events.iter().find_map(|(_, event)| match event {
             TraceEvent::Answered(answered) if answered.call == call => Some(&**answered),
@@ -148,7 +148,7 @@
         })
     }
 
-    /// Returns the refusal of a call.
+    /// Returns the refusal of a call, if it was refused.
     pub fn refusal(&self, call: CallId) -> Option<&Refusal> {
         self.events.iter().find_map(|(_, event)| match event {
             TraceEvent::Refused(refusal) if refusal.call == call => Some(refusal),
--- a/crates/testing/src/mesh/traffic.rs
+++ b/crates/testing/src/mesh/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts of the messages between VMs.
+//! Counts the messages between VMs and estimates their size.
 
 use knapweeddale_core::PeerMessage;
 use knapweeddale_core::message::{ConfigMessage, MembershipMessage};
@@ -8,36 +8,36 @@
 /// and of its response, shared by the few messages of a batch.
 const FRAME_BYTES: u64 = 60;
 
-/// Messages and bytes of one VM.
+/// Traffic and tick counters of one VM.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages sent.
+    /// Messages sent, lost ones included.
     pub sent_messages: u64,
-    /// Messages received.
+    /// Messages scheduled for delivery to the VM, duplicates included.
     pub received_messages: u64,
     /// Estimated bytes sent.
     pub sent_bytes: u64,
     /// Estimated bytes received.
     pub received_bytes: u64,
-    /// Processor time of the ticks.
+    /// Wall-clock time spent in ticks.
     pub tick_ns: u64,
-    /// Ticks.
+    /// Number of ticks.
     pub ticks: u64,
 }
 
 impl Traffic {
-    /// Returns all messages, sent and received.
+    /// Returns the number of messages sent and received.
     pub fn messages(&self) -> u64 {
         self.sent_messages + self.received_messages
     }
 
-    /// Returns all bytes, sent and received.
+    /// Returns the estimated bytes sent and received.
     pub fn bytes(&self) -> u64 {
         self.sent_bytes + self.received_bytes
     }
 }
 
-/// Estimates the size of a message as compact JSON with its share of a frame.
+/// Estimates the size of a message as compact JSON plus its share of the framing.
 pub fn estimated_bytes(message: &PeerMessage) -> u64 {
     let text = match message {
         PeerMessage::Membership(message) => membership_bytes(message),
@@ -54,7 +54,7 @@
     FRAME_BYTES + text
 }
 
-/// Estimates the JSON text of a membership message; times take up to 13 digits.
+/// Estimates the JSON size of a membership message; times take up to 13 digits.
 fn membership_bytes(message: &MembershipMessage) -> u64 {
     match message {
         // {"hb":[round,epoch,revision,1,0]}
@@ -69,13 +69,13 @@
     }
 }
 
-/// Estimates a member: names, address, an incarnation and an epoch.
+/// Estimates the JSON size of a member: names, address, incarnation and epoch.
 fn member_bytes(member: &Member) -> u64 {
     let names = member.vm.as_str().len() + member.failure_domain.as_str().len();
     40 + (names + member.address.len()) as u64
 }
 
-/// Estimates a difference between two views.
+/// Estimates the JSON size of a difference between two views.
 fn delta_bytes(delta: &ViewDelta) -> u64 {
     let removed = delta.removed.iter().map(|vm| vm.as_str().len() as u64 + 3);
     let changed = delta.changed.iter().map(member_bytes);
