--- a/crates/core/tests/cache_affinity.rs
+++ b/crates/core/tests/cache_affinity.rs
@@ -45,7 +45,7 @@
         let prompt_tokens = 4_000 * u64::from(number);
         let id = mesh.call(0, turn(program, number, prompt_tokens, continuation.take()));
         mesh.run_ms(5_000);
-        let answered = mesh.trace.answer(id).expect("turn is answered");
+        let answered = mesh.trace.response(id).expect("turn is answered");
         continuation = answered.continuation.clone();
         upstreams.push(upstream_of(mesh, id));
         mesh.run_ms(pause_ms);
--- a/crates/core/tests/combined_faults.rs
+++ b/crates/core/tests/combined_faults.rs
@@ -16,10 +16,10 @@
         }
         3 => mesh.store.is_down = true,
         4 => {
-            mesh.store.cut_off.insert(vm);
+            mesh.store.isolated.insert(vm);
         }
         5 => mesh.input(vm, Input::Drain),
-        6 => mesh.store.lost_answers_per_mille = 300,
+        6 => mesh.store.lost_responses_per_mille = 300,
         7 => mesh.store.late_per_mille = 300,
         _ => mesh.faults.lost_per_mille = 200,
     }
@@ -29,8 +29,8 @@
 fn repair(mesh: &mut Mesh) {
     mesh.heal();
     mesh.store.is_down = false;
-    mesh.store.cut_off.clear();
-    mesh.store.lost_answers_per_mille = 0;
+    mesh.store.isolated.clear();
+    mesh.store.lost_responses_per_mille = 0;
     mesh.store.late_per_mille = 0;
     mesh.faults.lost_per_mille = 0;
     for vm in 0..8 {
--- a/crates/core/tests/fair_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -200,7 +200,7 @@
         mesh.run_ms(300);
     }
     assert!(
-        mesh.trace.answer(old).is_some(),
+        mesh.trace.response(old).is_some(),
         "{:?}",
         mesh.trace.refusal(old)
     );
--- a/crates/core/tests/fault_mix.rs
+++ b/crates/core/tests/fault_mix.rs
@@ -28,7 +28,7 @@
         Fault::None => {}
         Fault::Lossy => {
             mesh.faults.lost_per_mille = 100;
-            mesh.faults.doubled_per_mille = 100;
+            mesh.faults.duplicated_per_mille = 100;
             mesh.faults.max_delay_us = 100_000;
             callers.run_ms(mesh, 10_000);
             mesh.faults = Default::default();
@@ -48,10 +48,10 @@
         Fault::Partition => {
             let rest: Vec<usize> = (0..mesh.len()).filter(|row| *row != vm).collect();
             mesh.partition(&[vm], &rest);
-            mesh.store.cut_off.insert(vm);
+            mesh.store.isolated.insert(vm);
             callers.run_ms(mesh, pause_us / 1_000);
             mesh.heal();
-            mesh.store.cut_off.clear();
+            mesh.store.isolated.clear();
         }
         Fault::Drain => {
             mesh.input(vm, knapweeddale_core::Input::Drain);
--- a/crates/core/tests/home_crash.rs
+++ b/crates/core/tests/home_crash.rs
@@ -27,12 +27,12 @@
     mesh.run_ms(after_ms);
     mesh.crash(home);
     mesh.run_ms(12_000);
-    let answered = mesh.trace.answer(first).expect("turn 1 is answered");
+    let answered = mesh.trace.response(first).expect("turn 1 is answered");
     let state = answered.continuation.clone().expect("a continuation");
     let next = call(Kind::Chat, "tour", 2, 2, Some(&state), None);
     let next = mesh.call(entry, next);
     mesh.run_ms(1_000);
-    let answered = mesh.trace.answer(next).expect("turn 2 is answered");
+    let answered = mesh.trace.response(next).expect("turn 2 is answered");
     let spent = answered.continuation.as_ref().map(|c| c.spent_tokens);
     assert_eq!(spent, Some(240), "the tokens of both turns are counted");
     invariants::program_order(&mesh.trace).expect("order");
@@ -47,7 +47,7 @@
     let rest: Vec<usize> = (0..5).filter(|vm| *vm != home && *vm != entry).collect();
     // The home and one entry VM are isolated and keep the old view.
     mesh.partition(&[home, entry], &rest);
-    mesh.store.cut_off.extend([home, entry]);
+    mesh.store.isolated.extend([home, entry]);
     mesh.run_ms(5_000);
     let old_side = mesh.call(entry, call(Kind::Chat, "tour", 1, 1, None, None));
     let new_side = mesh.call(rest[0], call(Kind::Chat, "tour", 1, 1, None, None));
@@ -62,7 +62,7 @@
     let refusal = mesh.trace.refusal(old_side).expect("no home on this side");
     assert_eq!(refusal.ran, Execution::NotRun);
     assert!(
-        mesh.trace.answer(new_side).is_some(),
+        mesh.trace.response(new_side).is_some(),
         "the new home takes over"
     );
     invariants::at_most_once(&mesh.trace).expect("at most once");
--- a/crates/core/tests/home_session.rs
+++ b/crates/core/tests/home_session.rs
@@ -30,7 +30,7 @@
     mesh.run_ms(20);
     mesh.call(entry, call(Kind::Chat, "tour/hall", 1, 2, None, None));
     mesh.run_ms(1_000);
-    let answered = mesh.trace.answer(first).expect("turn 1").clone();
+    let answered = mesh.trace.response(first).expect("turn 1").clone();
     let (state, permit) = (answered.continuation, answered.permit);
     let send = call(Kind::Send, "tour", 2, 3, state.as_ref(), permit.as_ref());
     mesh.call(entry, send.clone());
--- a/crates/core/tests/lease_expiry.rs
+++ b/crates/core/tests/lease_expiry.rs
@@ -76,7 +76,7 @@
         run_checked(&mut mesh, 5_000, seed);
         let writers = mesh.writers(0);
         // The second writer touches the view while the first one cannot reach the store.
-        mesh.store.cut_off.insert(writers[0]);
+        mesh.store.isolated.insert(writers[0]);
         for _ in 0..300 {
             run_checked(&mut mesh, 100, seed);
             for vm in 0..8 {
--- a/crates/core/tests/memory_release.rs
+++ b/crates/core/tests/memory_release.rs
@@ -39,7 +39,7 @@
 fn release_is_repeated_until_confirmed() {
     let (mut mesh, home) = run_one_turn();
     let engines = ["engine-1", "engine-2", "engine-3", "engine-4"];
-    mesh.engines.silent = engines.map(UpstreamName::from).into();
+    mesh.engines.ignoring_releases = engines.map(UpstreamName::from).into();
     mesh.program(home, request(ProgramRequestKind::End, "tour", None));
     mesh.run_ms(10_000);
     assert_eq!(
@@ -47,7 +47,7 @@
         1,
         "repeated until confirmed"
     );
-    mesh.engines.silent.clear();
+    mesh.engines.ignoring_releases.clear();
     mesh.run_ms(31_000);
     assert_eq!(count_unconfirmed(&mesh, home), 0);
     invariants::memory_released(&mesh).expect("memory");
@@ -57,7 +57,7 @@
 fn release_ends_when_upstream_is_removed() {
     let (mut mesh, home) = run_one_turn();
     let engines = ["engine-1", "engine-2", "engine-3", "engine-4"];
-    mesh.engines.silent = engines.map(UpstreamName::from).into();
+    mesh.engines.ignoring_releases = engines.map(UpstreamName::from).into();
     mesh.program(home, request(ProgramRequestKind::End, "tour", None));
     mesh.run_ms(1_000);
     let mut smaller = fleet(100_000, 130);
@@ -87,14 +87,14 @@
 fn new_program_keeps_its_memory() {
     let (mut mesh, home) = run_one_turn();
     let engines = ["engine-1", "engine-2", "engine-3", "engine-4"];
-    mesh.engines.silent = engines.map(UpstreamName::from).into();
+    mesh.engines.ignoring_releases = engines.map(UpstreamName::from).into();
     mesh.program(home, request(ProgramRequestKind::End, "tour", None));
     mesh.run_ms(500);
     let again = mesh.call(home, call(Kind::Chat, "tour", 1, 2, None, None));
     mesh.run_ms(500);
-    mesh.engines.silent.clear();
+    mesh.engines.ignoring_releases.clear();
     mesh.run_ms(31_000);
-    let answered = mesh.trace.answer(again).expect("a new program");
+    let answered = mesh.trace.response(again).expect("a new program");
     let generation = answered.continuation.as_ref().map(|c| c.generation);
     let is_late = |event: &TraceEvent| {
         matches!(event, TraceEvent::Released { generation: released, .. }
--- a/crates/core/tests/model_orders.rs
+++ b/crates/core/tests/model_orders.rs
@@ -80,9 +80,9 @@
     mesh.run_ms(10);
     let id = mesh.call(0, engine_call(0, 1, 100, 10));
     mesh.run_ms(100);
-    assert!(mesh.trace.answer(id).is_none() && mesh.trace.refusal(id).is_none());
+    assert!(mesh.trace.response(id).is_none() && mesh.trace.refusal(id).is_none());
     mesh.run_with_reports_ms(20_000);
-    assert!(mesh.trace.answer(id).is_some());
+    assert!(mesh.trace.response(id).is_some());
     let small = ModelName::from("small");
     assert!(
         mesh.orders
@@ -140,7 +140,7 @@
 fn lost_answers_only_repeat_orders() {
     for seed in seeds() {
         let mut mesh = mesh(false, seed);
-        mesh.orders.lost_answers_per_mille = 500;
+        mesh.orders.lost_responses_per_mille = 500;
         mesh.run_with_reports_ms(200_000);
         assert_tokens_ascend(&mesh, seed);
         let small = ModelName::from("small");
--- a/crates/core/tests/paused_owner.rs
+++ b/crates/core/tests/paused_owner.rs
@@ -28,10 +28,10 @@
         let owner = scenario.owner("bodega");
         let (left, right): (Vec<_>, Vec<_>) = (0..VMS).partition(|vm| vm % 2 == owner % 2);
         scenario.mesh.partition(&left, &right);
-        scenario.mesh.store.cut_off.extend(&left);
+        scenario.mesh.store.isolated.extend(&left);
         scenario.drive_ms(2_000 + seed % 10 * 1_000);
         scenario.mesh.heal();
-        scenario.mesh.store.cut_off.clear();
+        scenario.mesh.store.isolated.clear();
         scenario.drive_ms(20_000);
         scenario.check();
     }
@@ -42,7 +42,7 @@
     for seed in seeds() {
         let mut scenario = Scenario::new(seed);
         scenario.mesh.faults.lost_per_mille = 50;
-        scenario.mesh.faults.doubled_per_mille = 100;
+        scenario.mesh.faults.duplicated_per_mille = 100;
         scenario.mesh.faults.max_delay_us = 200_000;
         for account in ["aller", "cueca", "bodega"] {
             let owner = scenario.owner(account);
--- a/crates/core/tests/poison_request.rs
+++ b/crates/core/tests/poison_request.rs
@@ -63,7 +63,7 @@
         mesh.run_ms(40_000);
         assert_eq!(count_crashes(&mesh), 3, "seed {seed}");
         for id in harmless {
-            assert!(mesh.trace.answer(id).is_some(), "seed {seed}: {id}");
+            assert!(mesh.trace.response(id).is_some(), "seed {seed}: {id}");
         }
         let refusal = mesh.trace.refusal(poison).expect("poison is refused");
         assert_eq!(refusal.kind, RefusalKind::Quarantined);
@@ -77,7 +77,7 @@
     for seed in seeds() {
         let mut mesh = mesh(4, seed);
         mesh.faults.lost_per_mille = 20;
-        mesh.faults.doubled_per_mille = 20;
+        mesh.faults.duplicated_per_mille = 20;
         let mut harmless = Vec::new();
         for round in 0..30 {
             let vm = round % 4;
@@ -94,7 +94,7 @@
             count_crashes(&mesh)
         );
         for id in harmless {
-            assert!(mesh.trace.answer(id).is_some(), "seed {seed}: {id}");
+            assert!(mesh.trace.response(id).is_some(), "seed {seed}: {id}");
         }
         invariants::refusal_is_true(&mesh.trace).expect("refusals are true");
     }
@@ -155,7 +155,7 @@
             mesh.run_ms(50);
         }
         mesh.run_ms(10_000);
-        assert!(mesh.trace.answer(id).is_some(), "call {id} completes");
+        assert!(mesh.trace.response(id).is_some(), "call {id} completes");
     }
     let counts_as_crash = mesh.trace.events.iter().any(|(_, event)| {
         matches!(
--- a/crates/core/tests/pool_owner.rs
+++ b/crates/core/tests/pool_owner.rs
@@ -59,7 +59,7 @@
     for seed in seeds() {
         let (mut mesh, owner, others) = mesh(3, 2, seed);
         mesh.faults.lost_per_mille = 100;
-        mesh.faults.doubled_per_mille = 100;
+        mesh.faults.duplicated_per_mille = 100;
         let mut calls = Vec::new();
         for content in 0..90 {
             let vm = others[content as usize % 2];
@@ -68,7 +68,7 @@
         }
         mesh.run_ms(20_000);
         for id in calls {
-            assert!(mesh.trace.answer(id).is_some(), "seed {seed}: {id}");
+            assert!(mesh.trace.response(id).is_some(), "seed {seed}: {id}");
         }
         assert_idle(&mesh, owner);
         invariants::charges_reconcile(&mesh.trace).expect("charges");
@@ -100,7 +100,7 @@
     }
     mesh.run_ms(40_000);
     for id in calls.into_iter().chain([waiting]) {
-        assert!(mesh.trace.answer(id).is_some(), "{id}");
+        assert!(mesh.trace.response(id).is_some(), "{id}");
     }
     assert_idle(&mesh, next);
 }
@@ -114,9 +114,9 @@
     mesh.crash(owner);
     let id = mesh.call(others[0], engine_call(0, 1, 100, 10));
     mesh.run_ms(390);
-    assert!(mesh.trace.answer(id).is_none());
+    assert!(mesh.trace.response(id).is_none());
     mesh.run_ms(300);
-    assert!(mesh.trace.answer(id).is_some());
+    assert!(mesh.trace.response(id).is_some());
     let without_owner = mesh.trace.events.iter().any(|(_, event)| {
         matches!(
             event,
@@ -187,7 +187,7 @@
         assert_eq!(waiting(&mesh), 0);
     }
     mesh.run_ms(20_000);
-    assert!(mesh.trace.answer(blocker).is_some());
+    assert!(mesh.trace.response(blocker).is_some());
 }
 
 #[test]
@@ -202,7 +202,7 @@
     mesh.run_ms(10_000);
     let refusal = mesh.trace.refusal(abandoned).expect("abandoned call ends");
     assert_eq!(refusal.kind, RefusalKind::CallerGone);
-    assert!(mesh.trace.answer(last).is_some());
+    assert!(mesh.trace.response(last).is_some());
     assert_idle(&mesh, owner);
 }
 
@@ -221,7 +221,7 @@
     let progress = AttemptProgress::Failed(Failure::UpstreamError { status: 500 });
     mesh.input(0, Input::Attempt(AttemptEvent { attempt, progress }));
     mesh.run_ms(2_000);
-    assert!(mesh.trace.answer(id).is_some());
+    assert!(mesh.trace.response(id).is_some());
 }
 
 #[test]
@@ -241,7 +241,7 @@
     }
     mesh.run_ms(15_000);
     for id in calls {
-        assert!(mesh.trace.answer(id).is_some(), "{id}");
+        assert!(mesh.trace.response(id).is_some(), "{id}");
     }
     let (_, upstream) = control(&mesh, 0)
         .tables()
--- a/crates/core/tests/program_budget.rs
+++ b/crates/core/tests/program_budget.rs
@@ -17,7 +17,7 @@
         let mut callers = Callers::new(4, 20, seed);
         mesh.run_ms(2_000);
         mesh.faults.lost_per_mille = 50;
-        mesh.faults.doubled_per_mille = 50;
+        mesh.faults.duplicated_per_mille = 50;
         callers.run_ms(&mut mesh, 20_000);
         invariants::budget_holds(&mesh.trace, &fleet).expect("budget");
         let refused = callers.refusals.keys();
@@ -34,7 +34,7 @@
     mesh.run_ms(1_000);
     let first = mesh.call(0, call(Kind::Chat, "tour", 1, 1, None, None));
     mesh.run_ms(6_000);
-    let answered = mesh.trace.answer(first).expect("in time");
+    let answered = mesh.trace.response(first).expect("in time");
     let state = answered.continuation.clone();
     let late = mesh.call(0, call(Kind::Chat, "tour", 2, 2, state.as_ref(), None));
     mesh.run_ms(1_000);
@@ -52,7 +52,7 @@
     mesh.run_ms(1_000);
     let state = mesh
         .trace
-        .answer(child)
+        .response(child)
         .and_then(|a| a.continuation.clone());
     mesh.program(2, request(ProgramRequestKind::End, "tour", None));
     mesh.run_ms(500);
--- a/crates/core/tests/rate_shares.rs
+++ b/crates/core/tests/rate_shares.rs
@@ -40,7 +40,7 @@
             min_delay_us: 500,
             max_delay_us: 60_000,
             lost_per_mille: 50,
-            doubled_per_mille: 100,
+            duplicated_per_mille: 100,
         };
         scenario.drive_ms(20_000);
         totals.add(seed, &scenario.finish());
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -63,7 +63,7 @@
     assert_eq!(upstreams.len(), 2);
     assert_ne!(upstreams[0], upstreams[1]);
     assert_eq!(admitted, 1, "a retry takes no second call from the rate");
-    assert!(mesh.trace.answer(id).is_some());
+    assert!(mesh.trace.response(id).is_some());
     invariants::charges_reconcile(&mesh.trace).expect("charged once");
 }
 
--- a/crates/core/tests/stale_continuation.rs
+++ b/crates/core/tests/stale_continuation.rs
@@ -17,7 +17,7 @@
         let content = u64::from(turn);
         let id = mesh.call(entry, call(Kind::Chat, "tour", turn, content, state, None));
         mesh.run_ms(500);
-        let answered = mesh.trace.answer(id).expect("turn is answered");
+        let answered = mesh.trace.response(id).expect("turn is answered");
         answered.continuation.clone().expect("a continuation")
     };
     let first = state_of(&mut mesh, 1, None);
@@ -58,7 +58,7 @@
     let right = call(Kind::Chat, "tour", 3, 3, Some(&states[1]), None);
     let right = mesh.call((home + 2) % 5, right);
     mesh.run_ms(2_000);
-    assert!(mesh.trace.answer(right).is_some());
+    assert!(mesh.trace.response(right).is_some());
     invariants::history_intact(&mesh.trace).expect("history");
     invariants::program_order(&mesh.trace).expect("order");
 }
@@ -100,7 +100,7 @@
     mesh.run_ms(500);
     let again = mesh.call(home, call(Kind::Chat, "tour", 1, 7, None, None));
     mesh.run_ms(500);
-    assert!(mesh.trace.answer(again).is_some());
+    assert!(mesh.trace.response(again).is_some());
     let old = call(Kind::Chat, "tour", 3, 3, Some(&states[1]), None);
     let old = mesh.call(home, old);
     mesh.run_ms(500);
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -180,7 +180,7 @@
 fn late_and_lost_answers() {
     for seed in seeds() {
         let mut mesh = Mesh::with_domains(8, 3, fleet(), seed);
-        mesh.store.lost_answers_per_mille = 200;
+        mesh.store.lost_responses_per_mille = 200;
         mesh.store.late_per_mille = 100;
         run_checked(&mut mesh, 20_000, seed);
         for round in 0..4 {
@@ -190,7 +190,7 @@
             mesh.restart(vm);
             run_checked(&mut mesh, 20_000, seed);
         }
-        mesh.store.lost_answers_per_mille = 0;
+        mesh.store.lost_responses_per_mille = 0;
         mesh.store.late_per_mille = 0;
         run_checked(&mut mesh, 20_000, seed);
         for vm in 0..8 {
@@ -242,7 +242,7 @@
             mesh.run_until(mesh.now_us() + 100);
             let pending = mesh.tables(writers[0]).membership.store.pending;
             if pending.is_some_and(|pending| pending.kind == StoreRequestKind::Write) {
-                mesh.store.lost_answers_per_mille = 1_000;
+                mesh.store.lost_responses_per_mille = 1_000;
             }
             let stored = mesh.store.stored.as_ref().expect("view is stored");
             if stored.view.epoch > epoch {
@@ -252,7 +252,7 @@
         let known = mesh.tables(writers[0]).view.epoch;
         assert_eq!(known, epoch, "seed {seed}: the answer was not lost");
         mesh.store.is_down = true;
-        mesh.store.lost_answers_per_mille = 0;
+        mesh.store.lost_responses_per_mille = 0;
         run_checked(&mut mesh, 4_000, seed);
         for _ in 0..200 {
             run_checked(&mut mesh, 100, seed);
--- a/crates/core/tests/turn_order.rs
+++ b/crates/core/tests/turn_order.rs
@@ -4,7 +4,7 @@
 use knapweeddale_core::{Execution, PeerMessage, RefusalKind};
 use knapweeddale_testing::callers::{Kind, call, fleet, program_key};
 use knapweeddale_testing::invariants;
-use knapweeddale_testing::mesh::{LoseNext, Mesh, TraceEvent};
+use knapweeddale_testing::mesh::{DropRule, Mesh, TraceEvent};
 use rstest::rstest;
 
 /// Starts three VMs and returns them with a VM that is not the home of `tour`.
@@ -30,8 +30,8 @@
     let second = mesh.call(vm, call(Kind::Status, "tour", 2, 2, None, None));
     let third = mesh.call(vm, call(Kind::Status, "tour", 4, 3, None, None));
     mesh.run_ms(4_000);
-    assert!(mesh.trace.answer(first).is_some());
-    assert!(mesh.trace.answer(second).is_some(), "waits for turn 1");
+    assert!(mesh.trace.response(first).is_some());
+    assert!(mesh.trace.response(second).is_some(), "waits for turn 1");
     let refusal = mesh.trace.refusal(third).expect("turn 3 is missing");
     assert_eq!(refusal.kind, RefusalKind::TurnOutOfOrder);
     check(&mesh);
@@ -47,7 +47,7 @@
     mesh.run_ms(after_ms);
     let second = mesh.call((vm + 1) % 3, new);
     mesh.run_ms(1_000);
-    assert!(mesh.trace.answer(first).is_some());
+    assert!(mesh.trace.response(first).is_some());
     let is_replay = |event: &TraceEvent| {
         matches!(event, TraceEvent::Replayed { call, original, .. }
             if *call == second && *original == first)
@@ -103,15 +103,18 @@
     #[values(is_begin, is_began, is_settle, is_settled)] lost: fn(&PeerMessage) -> bool,
 ) {
     let (mut mesh, vm) = start();
-    let loses: LoseNext = (lost, 3);
-    mesh.lose_next.push(loses);
+    let loses: DropRule = (lost, 3);
+    mesh.drop_rules.push(loses);
     let first = mesh.call(vm, call(Kind::Chat, "tour", 1, 1, None, None));
     mesh.run_ms(8_000);
-    let answered = mesh.trace.answer(first).expect("answered after the losses");
+    let answered = mesh
+        .trace
+        .response(first)
+        .expect("answered after the losses");
     let state = answered.continuation.clone();
     let second = mesh.call(vm, call(Kind::Chat, "tour", 2, 2, state.as_ref(), None));
     mesh.run_ms(2_000);
-    assert!(mesh.trace.answer(second).is_some());
+    assert!(mesh.trace.response(second).is_some());
     check(&mesh);
 }
 
@@ -119,14 +122,14 @@
 fn abandoned_call_frees_its_turn() {
     let (mut mesh, vm) = start();
     // The home lets the turn begin, but the entry VM receives no `Began`.
-    mesh.lose_next.push((is_began, 100));
+    mesh.drop_rules.push((is_began, 100));
     let first = mesh.call(vm, call(Kind::Chat, "tour", 1, 1, None, None));
     mesh.run_ms(300);
     mesh.input(vm, knapweeddale_core::Input::CallAbandoned(first));
-    mesh.lose_next.clear();
+    mesh.drop_rules.clear();
     mesh.run_ms(3_000);
     let second = mesh.call(vm, call(Kind::Chat, "tour", 1, 2, None, None));
     mesh.run_ms(2_000);
-    assert!(mesh.trace.answer(second).is_some());
+    assert!(mesh.trace.response(second).is_some());
     check(&mesh);
 }
--- a/crates/core/tests/used_permit.rs
+++ b/crates/core/tests/used_permit.rs
@@ -23,7 +23,7 @@
     let home = mesh.home_of(0, &program_key("tour")).expect("a home");
     let first = mesh.call((home + 1) % 5, call(Kind::Chat, "tour", 1, 1, None, None));
     mesh.run_ms(1_000);
-    let answered = mesh.trace.answer(first).expect("turn 1").clone();
+    let answered = mesh.trace.response(first).expect("turn 1").clone();
     Session {
         mesh,
         home,
--- a/crates/core/tests/view_change.rs
+++ b/crates/core/tests/view_change.rs
@@ -124,9 +124,9 @@
     for seed in seeds() {
         let mut mesh = mesh(8, seed);
         mesh.faults.lost_per_mille = 50;
-        mesh.faults.doubled_per_mille = 50;
+        mesh.faults.duplicated_per_mille = 50;
         mesh.faults.max_delay_us = 50_000;
-        mesh.store.lost_answers_per_mille = 50;
+        mesh.store.lost_responses_per_mille = 50;
         run_checked(&mut mesh, 10_000, seed);
         assert_members(&mesh, &all_but(8, &[]), seed);
         mesh.crash(2);
--- a/crates/core/tests/whole_call.rs
+++ b/crates/core/tests/whole_call.rs
@@ -71,7 +71,7 @@
     mesh.run_ms(100);
     let first = mesh.call(0, call(1, "small", 1));
     mesh.run_ms(1_000);
-    let answered = mesh.trace.answer(first).expect("first turn is answered");
+    let answered = mesh.trace.response(first).expect("first turn is answered");
     let continuation = answered
         .continuation
         .as_ref()
--- a/crates/report/src/policy/run.rs
+++ b/crates/report/src/policy/run.rs
@@ -325,7 +325,7 @@
             let latency_us = ended_us.unwrap_or(now_us).saturating_sub(*arrived_us);
             self.outcome.latencies_us.push(latency_us);
         }
-        let cached_tokens = self.mesh.engines.prompt_tokens_found();
+        let cached_tokens = self.mesh.engines.cached_prompt_tokens();
         self.outcome.wasted_tokens = self.outcome.known_tokens.saturating_sub(cached_tokens);
         if let Some(control) = self.mesh.control(0) {
             let rows = control.tables().upstreams.iter();
--- a/crates/testing/src/mesh/batch.rs
+++ b/crates/testing/src/mesh/batch.rs
@@ -20,7 +20,7 @@
     pub step_us_over_knee: f64,
     /// Speed factor of decoding while a prompt is prefilled, and of prefill while
     /// calls are decoding.
-    pub mixed_speed: f64,
+    pub mixed_speed_factor: f64,
     /// Maximum number of running calls; further calls queue in order of arrival.
     pub max_calls: usize,
     /// Memory capacity in tokens, shared by running calls and cached prefixes.
@@ -37,7 +37,7 @@
             step_us_per_call: 250.0,
             knee_calls: 24,
             step_us_over_knee: 1_500.0,
-            mixed_speed: 0.7,
+            mixed_speed_factor: 0.7,
             max_calls: 48,
             memory_tokens: 1_000_000,
             report_us: 500_000,
@@ -66,7 +66,7 @@
     /// Length of the response that the engine will generate.
     pub answer_tokens: u64,
     cached_tokens: u64,
-    left_tokens: f64,
+    prefill_left: f64,
 }
 
 impl Job {
@@ -83,7 +83,7 @@
             prompt_tokens,
             answer_tokens: answer_tokens.max(1),
             cached_tokens: 0,
-            left_tokens: 0.0,
+            prefill_left: 0.0,
         }
     }
 
@@ -98,17 +98,17 @@
 pub struct BatchEngine {
     model: BatchModel,
     now_us: f64,
-    arrived: VecDeque<Job>,
-    reading: VecDeque<Job>,
+    queued: VecDeque<Job>,
+    prefilling: VecDeque<Job>,
     /// Decoding calls, keyed by the `progress` at which they end, in thousandths of a token.
-    generating: BTreeMap<(u64, AttemptId), Job>,
+    decoding: BTreeMap<(u64, AttemptId), Job>,
     /// Tokens that a call decoding since the engine was created would have generated.
     progress: f64,
     used_tokens: u64,
     cache: BTreeMap<ProgramKey, (u64, u64)>,
-    by_use: BTreeSet<(u64, ProgramKey)>,
+    lru: BTreeSet<(u64, ProgramKey)>,
     cached_tokens: u64,
-    uses: u64,
+    last_use: u64,
     generated_tokens: f64,
     reported_tokens: f64,
 }
@@ -123,15 +123,15 @@
         Self {
             model,
             now_us: 0.0,
-            arrived: VecDeque::new(),
-            reading: VecDeque::new(),
-            generating: BTreeMap::new(),
+            queued: VecDeque::new(),
+            prefilling: VecDeque::new(),
+            decoding: BTreeMap::new(),
             progress: 0.0,
             used_tokens: 0,
             cache: BTreeMap::new(),
-            by_use: BTreeSet::new(),
+            lru: BTreeSet::new(),
             cached_tokens: 0,
-            uses: 0,
+            last_use: 0,
             generated_tokens: 0.0,
             reported_tokens: 0.0,
         }
@@ -139,7 +139,7 @@
 
     /// Enqueues a request.
     pub fn push(&mut self, job: Job) {
-        self.arrived.push_back(job);
+        self.queued.push_back(job);
         self.admit();
     }
 
@@ -149,12 +149,12 @@
         while let Some(next_us) = self.next_change_us()
             && next_us <= to_us as f64
         {
-            self.pass_time(next_us);
-            self.finish_reading(&mut events);
-            self.finish_generating(&mut events);
+            self.advance_clock(next_us);
+            self.finish_prefill(&mut events);
+            self.finish_decode(&mut events);
             self.admit();
         }
-        self.pass_time(to_us as f64);
+        self.advance_clock(to_us as f64);
         events
     }
 
@@ -164,31 +164,31 @@
     }
 
     /// Returns the queued and running calls, and the tokens per second since the last report.
-    pub fn load(&mut self) -> (u32, u64) {
+    pub fn take_load(&mut self) -> (u32, u64) {
         let tokens = self.generated_tokens - self.reported_tokens;
         self.reported_tokens = self.generated_tokens;
-        let calls = self.arrived.len() + self.reading.len() + self.generating.len();
+        let calls = self.queued.len() + self.prefilling.len() + self.decoding.len();
         let rate = tokens * 1e6 / self.model.report_us as f64;
         (calls as u32, rate as u64)
     }
 
     /// Returns the tokens that each decoding call generates per microsecond.
     fn token_speed(&self) -> f64 {
-        let calls = self.generating.len();
-        let factor = if self.reading.is_empty() {
+        let calls = self.decoding.len();
+        let factor = if self.prefilling.is_empty() {
             1.0
         } else {
-            self.model.mixed_speed
+            self.model.mixed_speed_factor
         };
         factor / self.model.step_us(calls)
     }
 
     /// Returns the prompt tokens that are prefilled per microsecond.
-    fn read_speed(&self) -> f64 {
-        let factor = if self.generating.is_empty() {
+    fn prefill_speed(&self) -> f64 {
+        let factor = if self.decoding.is_empty() {
             1.0
         } else {
-            self.model.mixed_speed
+            self.model.mixed_speed_factor
         };
         factor / self.model.prefill_us_per_token
     }
@@ -196,10 +196,10 @@
     /// Returns the next time at which a call finishes prefill or decoding.
     fn next_change_us(&self) -> Option<f64> {
         let read_us = self
-            .reading
+            .prefilling
             .front()
-            .map(|job| job.left_tokens / self.read_speed());
-        let generate_us = self.generating.first_key_value().map(|((end, _), _)| {
+            .map(|job| job.prefill_left / self.prefill_speed());
+        let generate_us = self.decoding.first_key_value().map(|((end, _), _)| {
             (*end as f64 / 1_000.0 - self.progress).max(0.0) / self.token_speed()
         });
         let wait_us = match (read_us, generate_us) {
@@ -210,39 +210,38 @@
     }
 
     /// Advances the clock over an interval in which no call finishes prefill or decoding.
-    fn pass_time(&mut self, to_us: f64) {
+    fn advance_clock(&mut self, to_us: f64) {
         let elapsed_us = (to_us - self.now_us).max(0.0);
         let gained = elapsed_us * self.token_speed();
-        let read = elapsed_us * self.read_speed();
-        if !self.generating.is_empty() {
+        let read = elapsed_us * self.prefill_speed();
+        if !self.decoding.is_empty() {
             self.progress += gained;
-            self.generated_tokens += gained * self.generating.len() as f64;
+            self.generated_tokens += gained * self.decoding.len() as f64;
         }
-        if let Some(job) = self.reading.front_mut() {
-            job.left_tokens -= read;
+        if let Some(job) = self.prefilling.front_mut() {
+            job.prefill_left -= read;
         }
         self.now_us = self.now_us.max(to_us);
     }
 
     /// Moves calls whose prompt is fully prefilled to decoding.
-    fn finish_reading(&mut self, events: &mut Vec<BatchEvent>) {
-        while let Some(job) = self.reading.front()
-            && job.left_tokens <= 1e-3
+    fn finish_prefill(&mut self, events: &mut Vec<BatchEvent>) {
+        while let Some(job) = self.prefilling.front()
+            && job.prefill_left <= 1e-3
         {
-            let Some(job) = self.reading.pop_front() else {
+            let Some(job) = self.prefilling.pop_front() else {
                 return;
             };
             let at_us = self.now_us.ceil() as u64;
             events.push((at_us, job.attempt, AttemptProgress::FirstToken));
             let end = (self.progress + job.answer_tokens as f64) * 1_000.0;
-            self.generating
-                .insert((end.ceil() as u64, job.attempt), job);
+            self.decoding.insert((end.ceil() as u64, job.attempt), job);
         }
     }
 
     /// Completes calls that have generated their whole response and caches their prefixes.
-    fn finish_generating(&mut self, events: &mut Vec<BatchEvent>) {
-        while let Some(entry) = self.generating.first_entry() {
+    fn finish_decode(&mut self, events: &mut Vec<BatchEvent>) {
+        while let Some(entry) = self.decoding.first_entry() {
             if entry.key().0 as f64 / 1_000.0 > self.progress + 1e-3 {
                 return;
             }
@@ -256,7 +255,7 @@
             };
             events.push((at_us, job.attempt, AttemptProgress::Finished(outcome)));
             self.used_tokens -= job.memory_tokens();
-            self.store(job);
+            self.cache_prefix(job);
         }
     }
 }
@@ -265,49 +264,49 @@
 impl BatchEngine {
     /// Admits queued calls in order of arrival while the call and memory limits allow.
     fn admit(&mut self) {
-        while let Some(job) = self.arrived.front() {
-            let calls = self.reading.len() + self.generating.len();
+        while let Some(job) = self.queued.front() {
+            let calls = self.prefilling.len() + self.decoding.len();
             let needed = self.used_tokens + job.memory_tokens();
             let has_room = needed <= self.model.memory_tokens || calls == 0;
             if calls >= self.model.max_calls || !has_room {
                 return;
             }
-            let Some(mut job) = self.arrived.pop_front() else {
+            let Some(mut job) = self.queued.pop_front() else {
                 return;
             };
-            job.cached_tokens = self.take(&job);
-            job.left_tokens = (job.prompt_tokens - job.cached_tokens).max(1) as f64;
+            job.cached_tokens = self.take_prefix(&job);
+            job.prefill_left = (job.prompt_tokens - job.cached_tokens).max(1) as f64;
             self.used_tokens += job.memory_tokens();
             self.evict();
-            self.reading.push_back(job);
+            self.prefilling.push_back(job);
         }
     }
 
     /// Removes the cached prefix of a request and returns how many prompt tokens it covers.
-    fn take(&mut self, job: &Job) -> u64 {
+    fn take_prefix(&mut self, job: &Job) -> u64 {
         let Some(program) = &job.program else {
             return 0;
         };
         let Some((tokens, used)) = self.cache.remove(program) else {
             return 0;
         };
-        self.by_use.remove(&(used, program.clone()));
+        self.lru.remove(&(used, program.clone()));
         self.cached_tokens -= tokens;
         tokens.min(job.prompt_tokens)
     }
 
     /// Caches the prefix of a finished request.
-    fn store(&mut self, job: Job) {
+    fn cache_prefix(&mut self, job: Job) {
         let tokens = job.memory_tokens();
         let Some(program) = job.program else {
             return;
         };
-        self.uses += 1;
-        if let Some((old, used)) = self.cache.insert(program.clone(), (tokens, self.uses)) {
-            self.by_use.remove(&(used, program.clone()));
+        self.last_use += 1;
+        if let Some((old, used)) = self.cache.insert(program.clone(), (tokens, self.last_use)) {
+            self.lru.remove(&(used, program.clone()));
             self.cached_tokens -= old;
         }
-        self.by_use.insert((self.uses, program));
+        self.lru.insert((self.last_use, program));
         self.cached_tokens += tokens;
         self.evict();
     }
@@ -315,7 +314,7 @@
     /// Evicts the least recently used prefixes until the memory limit holds.
     fn evict(&mut self) {
         while self.used_tokens + self.cached_tokens > self.model.memory_tokens {
-            let Some((_, program)) = self.by_use.pop_first() else {
+            let Some((_, program)) = self.lru.pop_first() else {
                 return;
             };
             if let Some((tokens, _)) = self.cache.remove(&program) {
--- a/crates/testing/src/mesh/batches.rs
+++ b/crates/testing/src/mesh/batch_events.rs
@@ -17,7 +17,7 @@
     pub(super) fn run_engine(&mut self, upstream: &UpstreamName) {
         let (events, next_us) = self.engines.advance(self.now_us, upstream);
         for (at_us, attempt, progress) in events {
-            if let Some(vm) = self.vm_of(attempt.call) {
+            if let Some(vm) = self.entry_vm(attempt.call) {
                 let event = AttemptEvent { attempt, progress };
                 self.deliver(vm, at_us.max(self.now_us), Input::Attempt(event));
             }
@@ -33,10 +33,10 @@
         let Some(report_us) = self.engines.report_us() else {
             return;
         };
-        for upstream in self.engines.batch_names() {
+        for upstream in self.engines.batch_upstreams() {
             self.run_engine(&upstream);
         }
-        for (upstream, running_calls, tokens_per_s) in self.engines.loads() {
+        for (upstream, running_calls, tokens_per_s) in self.engines.take_loads() {
             for vm in 0..self.vms.len() {
                 let load = Input::Load {
                     upstream: upstream.clone(),
--- a/crates/testing/src/mesh/engine.rs
+++ b/crates/testing/src/mesh/engine.rs
@@ -39,7 +39,7 @@
     /// Digests of requests that crash any upstream that runs them.
     pub poison: HashSet<ContentDigest>,
     /// Upstreams that ignore requests to release memory.
-    pub silent: HashSet<UpstreamName>,
+    pub ignoring_releases: HashSet<UpstreamName>,
     /// Upstreams that answer every request with status 500.
     pub failing: BTreeSet<UpstreamName>,
     /// Number of crashes of each upstream.
@@ -48,7 +48,7 @@
     down_until_us: BTreeMap<UpstreamName, u64>,
     cancelled: HashSet<AttemptId>,
     batch_model: Option<BatchModel>,
-    found_tokens: u64,
+    cached_prompt_tokens: u64,
     batches: BTreeMap<UpstreamName, Batch>,
 }
 
@@ -57,7 +57,7 @@
 struct Batch {
     engine: BatchEngine,
     /// Time of the scheduled `Event::Engine`, if any.
-    planned_us: Option<u64>,
+    scheduled_us: Option<u64>,
 }
 
 /// Returns the digest of the conversation history after a call.
@@ -74,7 +74,7 @@
 
 /// The result of running an attempt.
 #[derive(Debug)]
-pub(super) struct Run {
+pub(super) struct RunResult {
     /// Whether the upstream ran the request.
     pub executed: bool,
     /// Progress events with their virtual times in microseconds.
@@ -89,20 +89,20 @@
         local_us: u64,
         dispatch: &Dispatch,
         call: &Call,
-    ) -> Run {
+    ) -> RunResult {
         let attempt = dispatch.attempt;
         let down_until_us = self.down_until_us.get(&dispatch.upstream);
         let is_down = down_until_us.is_some_and(|&until_us| now_us < until_us);
         if is_down || local_us >= dispatch.valid_until_us {
             let progress = AttemptProgress::Failed(Failure::NotSent);
-            return Run {
+            return RunResult {
                 executed: false,
                 events: vec![(now_us + 200, attempt, progress)],
             };
         }
         if self.failing.contains(&dispatch.upstream) {
             let failure = Failure::UpstreamError { status: 500 };
-            return Run {
+            return RunResult {
                 executed: true,
                 events: vec![
                     (now_us, attempt, AttemptProgress::Sent),
@@ -131,7 +131,7 @@
             answer_tokens: call.request.max_tokens,
             history: history_after(&call.request),
         };
-        Run {
+        RunResult {
             executed: true,
             events: vec![
                 (now_us, attempt, AttemptProgress::Sent),
@@ -150,7 +150,7 @@
     /// The second half of the content digest encodes the length of the
     /// response, which the scheduler does not know. If it is 0, the response
     /// has the maximum length that the request allows.
-    fn run_in_batch(&mut self, now_us: u64, dispatch: &Dispatch, call: &Call) -> Run {
+    fn run_in_batch(&mut self, now_us: u64, dispatch: &Dispatch, call: &Call) -> RunResult {
         let mut tail = [0; 8];
         tail.copy_from_slice(&call.request.digest.0[8..]);
         let answer_tokens = match u64::from_le_bytes(tail) {
@@ -165,7 +165,7 @@
         let job = Job::new(dispatch.attempt, program, prompt_tokens, answer_tokens);
         let batch = self.batch(&dispatch.upstream);
         batch.engine.push(job);
-        Run {
+        RunResult {
             executed: true,
             events: vec![(now_us, dispatch.attempt, AttemptProgress::Sent)],
         }
@@ -177,7 +177,7 @@
         let batches = &mut self.batches;
         batches.entry(upstream.clone()).or_insert_with(|| Batch {
             engine: BatchEngine::new(model),
-            planned_us: None,
+            scheduled_us: None,
         })
     }
 
@@ -207,42 +207,42 @@
         let events = batch.engine.advance(now_us);
         for (.., progress) in &events {
             if let AttemptProgress::Finished(outcome) = progress {
-                self.found_tokens += outcome.cached_tokens;
+                self.cached_prompt_tokens += outcome.cached_tokens;
             }
         }
         let batch = self.batch(upstream);
         let next_us = batch.engine.next_us();
-        let is_planned = batch.planned_us.is_some_and(|planned_us| {
-            planned_us > now_us && next_us.is_none_or(|at| planned_us <= at)
+        let is_scheduled = batch.scheduled_us.is_some_and(|scheduled_us| {
+            scheduled_us > now_us && next_us.is_none_or(|at| scheduled_us <= at)
         });
-        if is_planned {
+        if is_scheduled {
             return (events, None);
         }
-        batch.planned_us = next_us;
+        batch.scheduled_us = next_us;
         (events, next_us)
     }
 
     /// Returns the prompt tokens that batching engines served from their prefix caches.
-    pub fn prompt_tokens_found(&self) -> u64 {
-        self.found_tokens
+    pub fn cached_prompt_tokens(&self) -> u64 {
+        self.cached_prompt_tokens
     }
 
     /// Returns the upstreams whose batching engine has been created.
-    pub(super) fn batch_names(&self) -> Vec<UpstreamName> {
+    pub(super) fn batch_upstreams(&self) -> Vec<UpstreamName> {
         self.batches.keys().cloned().collect()
     }
 
     /// Returns the running calls and tokens per second of each batching engine.
-    pub(super) fn loads(&mut self) -> Vec<(UpstreamName, u32, u64)> {
+    pub(super) fn take_loads(&mut self) -> Vec<(UpstreamName, u32, u64)> {
         let rows = self.batches.iter_mut().map(|(upstream, batch)| {
-            let (running_calls, tokens_per_s) = batch.engine.load();
+            let (running_calls, tokens_per_s) = batch.engine.take_load();
             (upstream.clone(), running_calls, tokens_per_s)
         });
         rows.collect()
     }
 
     /// Crashes an upstream: all attempts on it fail and it is down for `restart_us`.
-    fn crash(&mut self, now_us: u64, dispatch: &Dispatch) -> Run {
+    fn crash(&mut self, now_us: u64, dispatch: &Dispatch) -> RunResult {
         let upstream = &dispatch.upstream;
         let batch = self.running.remove(upstream).unwrap_or_default();
         *self.crashes.entry(upstream.clone()).or_default() += 1;
@@ -256,7 +256,7 @@
         let others = batch.into_keys().filter(|a| !self.cancelled.contains(a));
         events.extend(others.map(|attempt| (now_us + 1_000, attempt, lost.clone())));
         events.push((now_us + 1_000, dispatch.attempt, lost));
-        Run {
+        RunResult {
             executed: true,
             events,
         }
--- a/crates/testing/src/mesh/faults.rs
+++ b/crates/testing/src/mesh/faults.rs
@@ -14,7 +14,7 @@
     /// Messages lost per 1,000.
     pub lost_per_mille: u64,
     /// Messages delivered twice per 1,000.
-    pub doubled_per_mille: u64,
+    pub duplicated_per_mille: u64,
 }
 
 impl Default for Faults {
@@ -23,20 +23,20 @@
             min_delay_us: 800,
             max_delay_us: 1_500,
             lost_per_mille: 0,
-            doubled_per_mille: 0,
+            duplicated_per_mille: 0,
         }
     }
 }
 
 impl Faults {
     /// Returns the delay of each delivery of a message; empty if it is lost.
-    pub(super) fn deliveries(&self, random: &mut Random) -> SmallVec<[u64; 2]> {
+    pub(super) fn delivery_delays_us(&self, random: &mut Random) -> SmallVec<[u64; 2]> {
         let mut delays_us = SmallVec::new();
         if random.per_mille(self.lost_per_mille) {
             return delays_us;
         }
         delays_us.push(random.between(self.min_delay_us, self.max_delay_us));
-        if random.per_mille(self.doubled_per_mille) {
+        if random.per_mille(self.duplicated_per_mille) {
             delays_us.push(random.between(self.min_delay_us, self.max_delay_us));
         }
         delays_us
--- a/crates/testing/src/mesh/mod.rs
+++ b/crates/testing/src/mesh/mod.rs
@@ -5,23 +5,23 @@
 //! crash, restart and partition VMs and stop the store. Every event that
 //! invariant checks need is recorded in a trace.
 
+mod accessors;
 mod batch;
-mod batches;
+mod batch_events;
 mod engine;
 mod faults;
 mod orders;
 mod outputs;
 mod platform;
-mod reading;
 mod store;
-mod store_link;
+mod store_requests;
 mod trace;
 mod traffic;
 
 pub use batch::{BatchEngine, BatchEvent, BatchModel, Job};
 pub use engine::{EngineModel, Engines, history_after};
 pub use faults::Faults;
-pub use orders::OrderDesk;
+pub use orders::ModelOrders;
 pub use platform::Platform;
 pub use store::ViewStore;
 pub use trace::{Trace, TraceEvent};
@@ -91,14 +91,14 @@
 }
 
 /// A predicate and how many more of the messages that match it are dropped.
-pub type LoseNext = (fn(&PeerMessage) -> bool, u32);
+pub type DropRule = (fn(&PeerMessage) -> bool, u32);
 
 /// A simulated network of VMs with their store, platform and upstreams.
 pub struct Mesh {
     vms: Vec<Vm>,
-    numbers: HashMap<VmName, usize>,
+    vm_indices: HashMap<VmName, usize>,
     events: BTreeMap<(u64, u64), Event>,
-    next_event: u64,
+    next_event_seq: u64,
     now_us: u64,
     random: Random,
     fleet: Arc<FleetConfig>,
@@ -107,13 +107,13 @@
     /// Faults of the links between VMs.
     pub faults: Faults,
     /// Rules that drop the next matching messages between VMs.
-    pub lose_next: Vec<LoseNext>,
+    pub drop_rules: Vec<DropRule>,
     /// The platform's store, which holds the view.
     pub store: ViewStore,
     /// The platform's list of VMs.
     pub platform: Platform,
     /// The models loaded on engines and the orders that changed them.
-    pub orders: OrderDesk,
+    pub orders: ModelOrders,
     /// The simulated upstreams.
     pub engines: Engines,
     /// The events recorded so far.
@@ -168,27 +168,27 @@
     ) -> Self {
         let mut mesh = Self {
             vms: Vec::new(),
-            numbers: HashMap::new(),
+            vm_indices: HashMap::new(),
             events: BTreeMap::new(),
-            next_event: 0,
+            next_event_seq: 0,
             now_us: 0,
             random: Random::new(seed),
             fleet: Arc::new(fleet),
             settings: Box::new(settings),
             blocked: HashSet::new(),
             faults: Faults::default(),
-            lose_next: Vec::new(),
+            drop_rules: Vec::new(),
             store: ViewStore::default(),
             platform: Platform::default(),
-            orders: OrderDesk::default(),
+            orders: ModelOrders::default(),
             engines: Engines::default(),
             trace: Trace::default(),
         };
         for number in 0..vms {
             let clock_offset_us = mesh.random.below(1_000_000_000);
             let name = VmName::from(format!("vm-{number}"));
-            mesh.platform.published.push(platform::status(&name));
-            mesh.numbers.insert(name.clone(), number);
+            mesh.platform.published.push(platform::listed_vm(&name));
+            mesh.vm_indices.insert(name.clone(), number);
             mesh.vms.push(Vm {
                 name,
                 control: None,
@@ -381,7 +381,7 @@
                 sent_us,
                 request,
                 is_late,
-            } => self.answer_store(vm, incarnation, sent_us, request, is_late),
+            } => self.handle_store_request(vm, incarnation, sent_us, request, is_late),
             Event::VmList(list) => {
                 for vm in 0..self.vms.len() {
                     self.deliver(vm, self.now_us, Input::VmList(list.clone()));
@@ -393,7 +393,7 @@
                 vm,
                 incarnation,
                 order,
-            } => self.arrive_order(vm, incarnation, &order),
+            } => self.handle_order(vm, incarnation, &order),
             Event::Load => self.report_load(),
         }
     }
@@ -411,13 +411,13 @@
         traffic.tick_ns += started.elapsed().as_nanos() as u64;
         traffic.ticks += 1;
         for output in outputs {
-            self.carry(vm, output);
+            self.handle_output(vm, output);
         }
-        self.plan_wake(vm);
+        self.schedule_wake(vm);
     }
 
     /// Schedules a wake at the next deadline of a VM, converted to virtual time.
-    fn plan_wake(&mut self, vm: usize) {
+    fn schedule_wake(&mut self, vm: usize) {
         let row = &self.vms[vm];
         let Some(control) = &row.control else {
             return;
@@ -449,8 +449,8 @@
 
     /// Schedules an event; events at the same time run in the order of scheduling.
     fn schedule(&mut self, at_us: u64, event: Event) {
-        self.next_event += 1;
-        self.events.insert((at_us, self.next_event), event);
+        self.next_event_seq += 1;
+        self.events.insert((at_us, self.next_event_seq), event);
     }
 
     /// Returns the control state of a VM; `None` while it is crashed.
@@ -471,7 +471,7 @@
 
     /// Returns the index of a VM.
     pub fn index(&self, vm: &VmName) -> Option<usize> {
-        self.numbers.get(vm).copied()
+        self.vm_indices.get(vm).copied()
     }
 
     /// Returns the current time on the clock of a VM.
--- a/crates/testing/src/mesh/orders.rs
+++ b/crates/testing/src/mesh/orders.rs
@@ -11,7 +11,7 @@
 
 /// The models loaded on engines and the orders that changed them.
 #[derive(Debug, Default)]
-pub struct OrderDesk {
+pub struct ModelOrders {
     /// Models loaded on each engine; only engines with an entry report their models.
     pub loaded: BTreeMap<UpstreamName, Vec<ModelName>>,
     /// Engines that don't check fencing tokens.
@@ -19,20 +19,24 @@
     /// Delay of an order on its way to the engine; at least 1 ms.
     pub delay_us: u64,
     /// Responses lost per 1,000 orders.
-    pub lost_answers_per_mille: u64,
+    pub lost_responses_per_mille: u64,
     /// Executed orders with their virtual times in microseconds.
     pub executed: Vec<(u64, Order)>,
-    last: BTreeMap<UpstreamName, FencingToken>,
+    last_tokens: BTreeMap<UpstreamName, FencingToken>,
 }
 
-impl OrderDesk {
+impl ModelOrders {
     /// Executes an order; one with a stale fencing token is rejected.
     fn execute(&mut self, now_us: u64, order: &Order) -> OrderResult {
-        let last = self.last.get(&order.upstream).copied().unwrap_or_default();
+        let last = self
+            .last_tokens
+            .get(&order.upstream)
+            .copied()
+            .unwrap_or_default();
         if !self.unfenced.contains(&order.upstream) && order.token < last {
             return OrderResult::Stale;
         }
-        self.last.insert(order.upstream.clone(), order.token);
+        self.last_tokens.insert(order.upstream.clone(), order.token);
         let loaded = self.loaded.entry(order.upstream.clone()).or_default();
         match &order.action {
             OrderAction::Load(model) if !loaded.contains(model) => loaded.push(model.clone()),
@@ -63,14 +67,14 @@
     }
 
     /// Executes an order that reached its engine and responds to the VM that sent it.
-    pub(super) fn arrive_order(
+    pub(super) fn handle_order(
         &mut self,
         vm: usize,
         incarnation: knapweeddale_core::Incarnation,
         order: &Order,
     ) {
         let mut result = self.orders.execute(self.now_us, order);
-        if self.random.per_mille(self.orders.lost_answers_per_mille) {
+        if self.random.per_mille(self.orders.lost_responses_per_mille) {
             result = OrderResult::Unknown;
         }
         if self.vms[vm].incarnation == incarnation {
--- a/crates/testing/src/mesh/outputs.rs
+++ b/crates/testing/src/mesh/outputs.rs
@@ -4,20 +4,20 @@
     AttemptEvent, CallId, Dispatch, Input, Output, PeerMessage, ProgramKey, UpstreamName, VmName,
 };
 
-use super::{LoseNext, Mesh, TraceEvent, estimated_bytes};
+use super::{DropRule, Mesh, TraceEvent, estimated_bytes};
 
 /// # Outputs
 impl Mesh {
     /// Records an output of a VM in the trace and dispatches it to its receiver.
-    pub(super) fn carry(&mut self, vm: usize, output: Output) {
+    pub(super) fn handle_output(&mut self, vm: usize, output: Output) {
         let name = self.vms[vm].name.clone();
-        self.trace.output(self.now_us, &name, &output);
+        self.trace.record_output(self.now_us, &name, &output);
         match output {
             Output::Send { to, message } => self.send(vm, &to, message),
             Output::Dispatch(dispatch) => self.dispatch(vm, dispatch),
             Output::Order(order) => self.send_order(vm, *order),
             Output::CancelAttempt(attempt) => self.engines.cancel(attempt),
-            Output::Store(request) => self.ask_store(vm, request),
+            Output::Store(request) => self.send_store_request(vm, request),
             Output::ReleaseMemory {
                 upstream,
                 program,
@@ -43,15 +43,15 @@
         if self.blocked.contains(&(from, to)) {
             return;
         }
-        let loses = |(is_lost, left): &mut LoseNext| {
-            let is_hit = *left > 0 && is_lost(&message);
-            *left -= u32::from(is_hit);
-            is_hit
+        let drops = |(matches, remaining): &mut DropRule| {
+            let is_dropped = *remaining > 0 && matches(&message);
+            *remaining -= u32::from(is_dropped);
+            is_dropped
         };
-        if self.lose_next.iter_mut().any(loses) {
+        if self.drop_rules.iter_mut().any(drops) {
             return;
         }
-        for delay_us in self.faults.deliveries(&mut self.random) {
+        for delay_us in self.faults.delivery_delays_us(&mut self.random) {
             let input = Input::Peer {
                 from: self.vms[from].name.clone(),
                 incarnation: self.vms[from].incarnation,
@@ -71,7 +71,7 @@
         program: ProgramKey,
         generation: u64,
     ) {
-        if self.is_silent(&upstream) {
+        if self.ignores_releases(&upstream) {
             return;
         }
         let released = TraceEvent::Released {
@@ -80,7 +80,7 @@
             generation,
         };
         self.trace.push(self.now_us, released);
-        for delay_us in self.faults.deliveries(&mut self.random) {
+        for delay_us in self.faults.delivery_delays_us(&mut self.random) {
             let input = Input::ReleaseConfirmed {
                 upstream: upstream.clone(),
                 program: program.clone(),
@@ -91,8 +91,8 @@
     }
 
     /// Returns whether an engine ignores requests to release memory.
-    pub(super) fn is_silent(&self, upstream: &UpstreamName) -> bool {
-        self.engines.silent.contains(upstream)
+    pub(super) fn ignores_releases(&self, upstream: &UpstreamName) -> bool {
+        self.engines.ignoring_releases.contains(upstream)
     }
 
     /// Runs an attempt on its upstream.
@@ -123,7 +123,7 @@
             self.trace.push(self.now_us, executed);
         }
         for (at_us, attempt, progress) in run.events {
-            let Some(owner) = self.vm_of(attempt.call) else {
+            let Some(owner) = self.entry_vm(attempt.call) else {
                 continue;
             };
             let event = AttemptEvent { attempt, progress };
@@ -132,7 +132,7 @@
     }
 
     /// Returns the entry VM of a call; `None` if it has restarted since.
-    pub(super) fn vm_of(&self, call: CallId) -> Option<usize> {
+    pub(super) fn entry_vm(&self, call: CallId) -> Option<usize> {
         self.vms
             .iter()
             .position(|vm| vm.incarnation == call.incarnation)
--- a/crates/testing/src/mesh/platform.rs
+++ b/crates/testing/src/mesh/platform.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the list entry of a VM.
-pub(super) fn status(vm: &VmName) -> ListedVm {
+pub(super) fn listed_vm(vm: &VmName) -> ListedVm {
     ListedVm {
         vm: vm.clone(),
         address: vm.to_string(),
@@ -37,7 +37,7 @@
     /// Schedules the publication of the VMs that are running now.
     pub(super) fn publish_list(&mut self) {
         let running = self.vms.iter().filter(|vm| vm.control.is_some());
-        let list: Vec<_> = running.map(|vm| status(&vm.name)).collect();
+        let list: Vec<_> = running.map(|vm| listed_vm(&vm.name)).collect();
         let at_us = self.now_us + self.platform.lag_us;
         self.schedule(at_us, Event::VmList(list));
     }
--- a/crates/testing/src/mesh/store.rs
+++ b/crates/testing/src/mesh/store.rs
@@ -16,9 +16,9 @@
     /// Whether the store is unavailable to all VMs.
     pub is_down: bool,
     /// VMs that cannot reach the store.
-    pub cut_off: HashSet<usize>,
+    pub isolated: HashSet<usize>,
     /// Responses lost per 1,000 requests, after a write has taken effect.
-    pub lost_answers_per_mille: u64,
+    pub lost_responses_per_mille: u64,
     /// Requests per 1,000 whose response is replaced by a timeout and that take effect late.
     pub late_per_mille: u64,
     /// Maximum delay of a late request.
@@ -34,8 +34,8 @@
         Self {
             stored: None,
             is_down: false,
-            cut_off: HashSet::new(),
-            lost_answers_per_mille: 0,
+            isolated: HashSet::new(),
+            lost_responses_per_mille: 0,
             late_per_mille: 0,
             latest_us: 10_000_000,
             timeout_us: 500_000,
@@ -54,10 +54,10 @@
         random: &mut Random,
     ) -> StoreEvent {
         self.requests += 1;
-        if self.is_down || self.cut_off.contains(&vm) {
+        if self.is_down || self.isolated.contains(&vm) {
             return StoreEvent::Unavailable;
         }
-        let answer = match request {
+        let response = match request {
             StoreRequest::Read => StoreEvent::ViewRead(self.stored.clone()),
             StoreRequest::Write {
                 view,
@@ -75,10 +75,10 @@
                     sent_us,
                 }),
         };
-        if random.per_mille(self.lost_answers_per_mille) {
+        if random.per_mille(self.lost_responses_per_mille) {
             return StoreEvent::Unavailable;
         }
-        answer
+        response
     }
 
     /// Writes the object if it has the expected version; returns `None` otherwise.
--- a/crates/testing/src/mesh/store_link.rs
+++ b/crates/testing/src/mesh/store_requests.rs
@@ -7,7 +7,7 @@
 /// # Store
 impl Mesh {
     /// Sends a request to the store, which it reaches after 1 to 4 ms.
-    pub(super) fn ask_store(&mut self, vm: usize, request: StoreRequest) {
+    pub(super) fn send_store_request(&mut self, vm: usize, request: StoreRequest) {
         let event = Event::Store {
             vm,
             incarnation: self.vms[vm].incarnation,
@@ -20,7 +20,7 @@
     }
 
     /// Executes a request that reached the store and sends the response back.
-    pub(super) fn answer_store(
+    pub(super) fn handle_store_request(
         &mut self,
         vm: usize,
         incarnation: Incarnation,
@@ -46,18 +46,18 @@
             self.schedule(self.now_us + self.store.timeout_us, event);
             return;
         }
-        let answer = self.store.handle(vm, request, sent_us, &mut self.random);
+        let response = self.store.handle(vm, request, sent_us, &mut self.random);
         if is_late {
             return;
         }
-        let delay_us = match answer {
+        let delay_us = match response {
             StoreEvent::Unavailable => self.store.timeout_us,
             _ => self.random.between(1_000, 4_000),
         };
         let event = Event::Input {
             vm,
             incarnation,
-            input: Box::new(Input::Store(answer)),
+            input: Box::new(Input::Store(response)),
         };
         self.schedule(self.now_us + delay_us, event);
     }
--- a/crates/testing/src/mesh/trace.rs
+++ b/crates/testing/src/mesh/trace.rs
@@ -102,7 +102,7 @@
     }
 
     /// Records an output of a VM, unless no invariant check needs it.
-    pub(super) fn output(&mut self, at_us: u64, vm: &VmName, output: &Output) {
+    pub(super) fn record_output(&mut self, at_us: u64, vm: &VmName, output: &Output) {
         let vm = vm.clone();
         let event = match output {
             Output::Answered(answered) => TraceEvent::Answered(answered.clone()),
@@ -141,7 +141,7 @@
     }
 
     /// Returns the response to a call, if it was answered.
-    pub fn answer(&self, call: CallId) -> Option<&Answered> {
+    pub fn response(&self, call: CallId) -> Option<&Answered> {
         self.events.iter().find_map(|(_, event)| match event {
             TraceEvent::Answered(answered) if answered.call == call => Some(&**answered),
             _ => None,
