--- a/crates/ctl/tests/publish_race.rs
+++ b/crates/ctl/tests/publish_race.rs
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn lost_response_resolved() {
     let platform = Platform::start(0).await;
-    platform.objects.set_fault(Fault::LoseAnswers);
+    platform.objects.set_fault(Fault::DropResponses);
     let report = publish(&platform, &create_folder("lost", 10), None)
         .await
         .expect("write is confirmed by reading it back");
--- a/crates/entry/tests/caller_gone.rs
+++ b/crates/entry/tests/caller_gone.rs
@@ -9,7 +9,7 @@
 async fn attempt_is_cancelled() {
     let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
-    entry.engine.handler().plan(EngineFault::GateAfter(2));
+    entry.engine.handler().inject(EngineFault::GateAfter(2));
     let headers = [("authorization", key.as_str())];
     let mut response = entry
         .complete(&headers, &completion_body(&[("user", "oslo")], true))
--- a/crates/entry/tests/charge_records.rs
+++ b/crates/entry/tests/charge_records.rs
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn store_response_lost() {
     assert_eq!(
-        count_records_after(Fault::LoseAnswers, "charges-lost", 3).await,
+        count_records_after(Fault::DropResponses, "charges-lost", 3).await,
         3
     );
 }
--- a/crates/entry/tests/graceful_stop.rs
+++ b/crates/entry/tests/graceful_stop.rs
@@ -9,7 +9,7 @@
 async fn stream_finishes() {
     let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
-    entry.engine.handler().plan(EngineFault::GateAfter(2));
+    entry.engine.handler().inject(EngineFault::GateAfter(2));
     let headers = [("authorization", key.as_str())];
     let body = completion_body(&[("user", "oslo")], true);
     let mut response = entry.complete(&headers, &body).await;
--- a/crates/entry/tests/silent_upstream.rs
+++ b/crates/entry/tests/silent_upstream.rs
@@ -18,7 +18,7 @@
     let entry = EntryUnderTest::start_with(set_short_timeouts).await;
     let key = bearer(KEY);
     let headers = [("authorization", key.as_str())];
-    entry.engine.handler().plan(EngineFault::SilentAfter(2));
+    entry.engine.handler().inject(EngineFault::SilentAfter(2));
     let response = entry
         .complete(&headers, &completion_body(&[("user", "oslo")], true))
         .await;
@@ -54,7 +54,7 @@
     .await;
     let key = bearer(KEY);
     for engine in [&entry.engine, &second] {
-        engine.handler().plan(EngineFault::SilentAfter(2));
+        engine.handler().inject(EngineFault::SilentAfter(2));
     }
     let headers = [("authorization", key.as_str()), ("x-request-id", "draft")];
     // Each engine is silent only for its first request, so the third attempt is the first one to
--- a/crates/entry/tests/upstream_crash.rs
+++ b/crates/entry/tests/upstream_crash.rs
@@ -10,11 +10,11 @@
 async fn completion_runs_again() {
     let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
-    entry.engine.handler().plan(EngineFault::CrashAfter(2));
+    entry.engine.handler().inject(EngineFault::CrashAfter(2));
     let headers = [("authorization", key.as_str()), ("x-request-id", "draft")];
     let body = completion_body(&[("user", "oslo")], false);
     let crash = async {
-        entry.engine.handler().crash_due().await;
+        entry.engine.handler().wait_for_crash().await;
         entry.engine.restart().await.expect("the port is free");
     };
     let (response, ()) = tokio::join!(entry.complete(&headers, &body), crash);
@@ -32,11 +32,11 @@
 async fn stream_is_not_repeated() {
     let entry = EntryUnderTest::start().await;
     let key = bearer(KEY);
-    entry.engine.handler().plan(EngineFault::CrashAfter(2));
+    entry.engine.handler().inject(EngineFault::CrashAfter(2));
     let headers = [("authorization", key.as_str()), ("x-request-id", "draft")];
     let body = completion_body(&[("user", "oslo")], true);
     let response = entry.complete(&headers, &body).await;
-    entry.engine.handler().crash_due().await;
+    entry.engine.handler().wait_for_crash().await;
     entry.engine.restart().await.expect("the port is free");
     let text = response.text().await.expect("the stream ends");
     let events = parse_events(&text);
--- a/crates/store/tests/object_client.rs
+++ b/crates/store/tests/object_client.rs
@@ -31,9 +31,9 @@
 }
 
 #[tokio::test]
-async fn lost_answer_took_effect() {
+async fn lost_response_took_effect() {
     let (platform, api) = start().await;
-    platform.objects.set_fault(Fault::LoseAnswers);
+    platform.objects.set_fault(Fault::DropResponses);
     let written = api.put("a", b"x".to_vec(), 0).await;
     assert!(matches!(written, Err(StoreError::Unavailable { .. })));
     platform.objects.set_fault(Fault::None);
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn silent_watch_is_failure() {
     let (platform, api) = start().await;
-    platform.objects.set_fault(Fault::SilentWatch);
+    platform.objects.set_fault(Fault::UnansweredWatch);
     let seen = api.watch("a", 0, Duration::from_millis(1)).await;
     assert!(matches!(seen, Err(StoreError::Unavailable { .. })));
     assert_eq!(api.counts().failures, 1);
--- a/crates/testing/src/http/connection.rs
+++ b/crates/testing/src/http/connection.rs
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Fails if the connection breaks or the request is malformed.
-    pub async fn read(&mut self) -> io::Result<Option<Request>> {
+    pub async fn read_request(&mut self) -> io::Result<Option<Request>> {
         let end = loop {
             if let Some(at) = self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
                 break at + 4;
@@ -120,7 +120,7 @@
     /// # Errors
     ///
     /// Fails if the connection breaks.
-    pub async fn event(&mut self, data: &str) -> io::Result<()> {
+    pub async fn send_event(&mut self, data: &str) -> io::Result<()> {
         let event = format!("data: {data}\n\n");
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         self.stream.write_all(chunk.as_bytes()).await
@@ -136,7 +136,7 @@
     }
 
     /// Waits until the client closes the connection or it breaks.
-    pub async fn closed(&mut self) {
+    pub async fn wait_closed(&mut self) {
         while !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(0) | Err(_)) {}
     }
 }
--- a/crates/testing/src/http/engine.rs
+++ b/crates/testing/src/http/engine.rs
@@ -42,7 +42,7 @@
 /// Fault injected into one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineFault {
-    /// After this many tokens, [`FakeEngine::crash_due`] returns and the request stalls until
+    /// After this many tokens, [`FakeEngine::wait_for_crash`] returns and the request stalls until
     /// the test crashes the server.
     CrashAfter(u64),
     /// After this many tokens, the engine sends nothing more and keeps the connection open.
@@ -58,7 +58,7 @@
 pub struct FakeEngine {
     options: EngineOptions,
     gate: Semaphore,
-    crashed: Semaphore,
+    crash_signal: Semaphore,
     started: Instant,
     state: Mutex<State>,
 }
@@ -67,9 +67,9 @@
 #[derive(Debug, Default)]
 struct State {
     running: usize,
-    loads: VecDeque<(Instant, usize)>,
+    running_history: VecDeque<(Instant, usize)>,
     /// Time of the last restart; `None` before the first.
-    restarted: Option<Instant>,
+    restarted_at: Option<Instant>,
     /// Loaded models; `None` until an order arrives if the options list none.
     models: Option<Vec<String>>,
     /// Highest fencing token received, as (epoch, seq).
@@ -97,7 +97,7 @@
         FakeServer::start(Self {
             options,
             gate: Semaphore::new(0),
-            crashed: Semaphore::new(0),
+            crash_signal: Semaphore::new(0),
             started: Instant::now(),
             state: Mutex::new(state),
         })
@@ -105,7 +105,7 @@
     }
 
     /// Queues a fault; each completion request consumes one, in order.
-    pub fn plan(&self, fault: EngineFault) {
+    pub fn inject(&self, fault: EngineFault) {
         self.state().faults.push_back(fault);
     }
 
@@ -121,8 +121,8 @@
 
     /// Waits until a request reaches [`EngineFault::CrashAfter`]; the caller then crashes the
     /// server.
-    pub async fn crash_due(&self) {
-        if let Ok(permit) = self.crashed.acquire().await {
+    pub async fn wait_for_crash(&self) {
+        if let Ok(permit) = self.crash_signal.acquire().await {
             permit.forget();
         }
     }
@@ -187,7 +187,7 @@
         })
     }
 
-    fn chunk(&self, token: u64) -> String {
+    fn build_chunk(&self, token: u64) -> String {
         let delta = json!({"role": "assistant", "content": self.text(token)});
         json!({
             "object": "chat.completion.chunk",
@@ -197,7 +197,7 @@
         .to_string()
     }
 
-    fn last_chunk(&self) -> String {
+    fn build_last_chunk(&self) -> String {
         json!({
             "object": "chat.completion.chunk",
             "model": self.model,
@@ -207,7 +207,7 @@
         .to_string()
     }
 
-    fn whole(&self) -> String {
+    fn build_response(&self) -> String {
         let content: String = (0..self.tokens).map(|token| self.text(token)).collect();
         let message = json!({"role": "assistant", "content": content});
         json!({
@@ -233,7 +233,7 @@
         if state.running >= self.options.batch_limit {
             return Err(429);
         }
-        let words = words_of(&body);
+        let words = split_words(&body);
         let tag = body["messages"].as_array().and_then(|list| list.last());
         let tag = tag.and_then(|message| message["content"].as_str());
         let tag = tag.and_then(|text| text.split_whitespace().last());
@@ -262,31 +262,35 @@
             connection.start_events().await?;
         }
         for token in 0..completion.tokens {
-            self.pass_fault(fault, token, connection).await?;
+            self.apply_fault(fault, token, connection).await?;
             if !self.options.token_time.is_zero() {
                 tokio::time::sleep(self.options.token_time).await;
             }
             if completion.stream {
-                connection.event(&completion.chunk(token)).await?;
+                connection
+                    .send_event(&completion.build_chunk(token))
+                    .await?;
             }
         }
-        self.pass_fault(fault, completion.tokens, connection)
+        self.apply_fault(fault, completion.tokens, connection)
             .await?;
         if !completion.stream {
-            let body = completion.whole();
+            let body = completion.build_response();
             return connection
                 .respond(200, "application/json", body.as_bytes())
                 .await;
         }
-        connection.event(&completion.last_chunk()).await?;
-        connection.event("[DONE]").await?;
+        connection
+            .send_event(&completion.build_last_chunk())
+            .await?;
+        connection.send_event("[DONE]").await?;
         connection.end_events().await
     }
 
     /// Applies the fault if it is due before this token.
     ///
     /// Fails if the client closes the connection while the fault blocks the request.
-    async fn pass_fault(
+    async fn apply_fault(
         &self,
         fault: Option<EngineFault>,
         token: u64,
@@ -296,16 +300,16 @@
             Some(EngineFault::GateAfter(after)) if after == token => {
                 tokio::select! {
                     permit = self.gate.acquire() => permit.is_ok_and(|p| { p.forget(); true }),
-                    () = connection.closed() => false,
+                    () = connection.wait_closed() => false,
                 }
             }
             Some(EngineFault::SilentAfter(after)) if after == token => {
-                connection.closed().await;
+                connection.wait_closed().await;
                 false
             }
             Some(EngineFault::CrashAfter(after)) if after == token => {
-                self.crashed.add_permits(1);
-                connection.closed().await;
+                self.crash_signal.add_permits(1);
+                connection.wait_closed().await;
                 false
             }
             _ => true,
@@ -317,14 +321,14 @@
     }
 
     /// Returns the load report as JSON; its running count is at least `load_lag` old.
-    fn load(&self) -> String {
+    fn build_load_report(&self) -> String {
         let state = self.state();
         let now = Instant::now();
-        let lagged = state.loads.iter().rev();
+        let lagged = state.running_history.iter().rev();
         let lagged = lagged
             .clone()
             .find(|(at, _)| now.duration_since(*at) >= self.options.load_lag);
-        let started = state.restarted.unwrap_or(self.started);
+        let started = state.restarted_at.unwrap_or(self.started);
         json!({
             "running_calls": lagged.map_or(0, |(_, running)| *running),
             "tokens_per_s": 0,
@@ -336,7 +340,7 @@
 
     /// Loads or unloads a model and returns the HTTP status; 409 if the fencing token is older
     /// than the highest one received.
-    fn order(&self, body: &[u8]) -> u16 {
+    fn apply_order(&self, body: &[u8]) -> u16 {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
         let number = |field: &str| body["token"][field].as_u64().unwrap_or(0);
         let token = (number("epoch"), number("seq"));
@@ -356,7 +360,7 @@
 
     /// Evicts the cache entry of a program if its generation matches, so that a newer program of
     /// the same name keeps its entry.
-    fn release(&self, body: &[u8]) -> String {
+    fn evict_program(&self, body: &[u8]) -> String {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
         let name = body["program"].as_str().unwrap_or_default();
         let generation = body["generation"].as_u64().unwrap_or(0);
@@ -371,9 +375,10 @@
     /// Adjusts the number of running requests and records the time; keeps 1,000 records.
     fn change_running(&mut self, by: isize) {
         self.running = self.running.saturating_add_signed(by);
-        self.loads.push_back((Instant::now(), self.running));
-        if self.loads.len() > 1_000 {
-            self.loads.pop_front();
+        self.running_history
+            .push_back((Instant::now(), self.running));
+        if self.running_history.len() > 1_000 {
+            self.running_history.pop_front();
         }
     }
 
@@ -398,7 +403,7 @@
 }
 
 /// Splits the content of all messages into words; each word counts as one token.
-fn words_of(body: &Value) -> Vec<String> {
+fn split_words(body: &Value) -> Vec<String> {
     let messages = body["messages"].as_array().into_iter().flatten();
     messages
         .filter_map(|message| message["content"].as_str())
@@ -407,9 +412,9 @@
 }
 
 impl Handler for FakeEngine {
-    fn restarted(&self) {
+    fn on_restart(&self) {
         let mut state = self.state();
-        state.restarted = Some(Instant::now());
+        state.restarted_at = Some(Instant::now());
         state.cache.clear();
     }
 
@@ -418,15 +423,15 @@
         let kind = "application/json";
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/load") => {
-                let body = self.load();
+                let body = self.build_load_report();
                 connection.respond(200, kind, body.as_bytes()).await
             }
             ("POST", "/orders") => {
-                let status = self.order(&request.body);
+                let status = self.apply_order(&request.body);
                 connection.respond(status, kind, b"{}").await
             }
             ("POST", "/cache/release") => {
-                let body = self.release(&request.body);
+                let body = self.evict_program(&request.body);
                 connection.respond(200, kind, body.as_bytes()).await
             }
             ("POST", "/v1/chat/completions") => match self.admit(&request) {
--- a/crates/testing/src/http/plain.rs
+++ b/crates/testing/src/http/plain.rs
@@ -11,11 +11,11 @@
 
 /// Plain service that echoes requests and counts their executions.
 #[derive(Debug, Default)]
-pub struct FakePlain(Mutex<Seen>);
+pub struct FakePlain(Mutex<State>);
 
 /// Recorded requests and pending faults.
 #[derive(Debug, Default)]
-struct Seen {
+struct State {
     heads: Vec<u8>,
     executions: BTreeMap<String, u64>,
     drop_next: bool,
@@ -41,44 +41,44 @@
 
     /// Returns how often a request with this `x-request-id` was executed.
     pub fn executions(&self, request: &str) -> u64 {
-        self.seen().executions.get(request).copied().unwrap_or(0)
+        self.state().executions.get(request).copied().unwrap_or(0)
     }
 
     /// Returns the number of requests executed.
     pub fn total_executions(&self) -> u64 {
-        self.seen().executions.values().sum()
+        self.state().executions.values().sum()
     }
 
     /// Returns the concatenated heads of all requests received, without load probes.
     pub fn heads(&self) -> Vec<u8> {
-        self.seen().heads.clone()
+        self.state().heads.clone()
     }
 
     /// Executes the next request, then closes its connection without a response.
     pub fn drop_next(&self) {
-        self.seen().drop_next = true;
+        self.state().drop_next = true;
     }
 
     /// Executes the next request, then keeps its connection open without a response.
     pub fn hang_next(&self) {
-        self.seen().hang_next = true;
+        self.state().hang_next = true;
     }
 
-    fn seen(&self) -> MutexGuard<'_, Seen> {
+    fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records a request; returns how often its id was executed and how the request ends.
-    fn count(&self, request: &Request) -> (u64, Ending) {
+    fn record_request(&self, request: &Request) -> (u64, Ending) {
         let id = request.header("x-request-id").unwrap_or_default();
-        let mut seen = self.seen();
-        seen.heads.extend(&request.head);
-        let count = seen.executions.entry(id).or_default();
+        let mut state = self.state();
+        state.heads.extend(&request.head);
+        let count = state.executions.entry(id).or_default();
         *count += 1;
         let count = *count;
-        let ending = if std::mem::take(&mut seen.drop_next) {
+        let ending = if std::mem::take(&mut state.drop_next) {
             Ending::Drop
-        } else if std::mem::take(&mut seen.hang_next) {
+        } else if std::mem::take(&mut state.hang_next) {
             Ending::Hang
         } else {
             Ending::Respond
@@ -92,12 +92,12 @@
         if request.path == "/load" {
             return connection.respond(404, "text/plain", b"").await;
         }
-        let (count, ending) = self.count(&request);
+        let (count, ending) = self.record_request(&request);
         match ending {
             Ending::Respond => {}
             Ending::Drop => return Err(io::ErrorKind::ConnectionAborted.into()),
             Ending::Hang => {
-                connection.closed().await;
+                connection.wait_closed().await;
                 return Err(io::ErrorKind::TimedOut.into());
             }
         }
--- a/crates/testing/src/http/server.rs
+++ b/crates/testing/src/http/server.rs
@@ -19,7 +19,7 @@
     ) -> impl Future<Output = io::Result<()>> + Send;
 
     /// Clears the state that is lost in a crash; called before the server listens again.
-    fn restarted(&self) {}
+    fn on_restart(&self) {}
 }
 
 /// Server on loopback that a test can crash and restart.
@@ -49,7 +49,7 @@
 
     /// Closes all connections and the listening port.
     pub async fn crash(&self) {
-        let listener = self.slot().take();
+        let listener = self.lock_listener().take();
         if let Some(listener) = listener {
             listener.abort();
             // The port is released only when the task has ended.
@@ -64,7 +64,7 @@
     /// Fails if another process has bound the port in the meantime.
     pub async fn restart(&self) -> io::Result<()> {
         self.crash().await;
-        self.handler.restarted();
+        self.handler.on_restart();
         self.listen(TcpListener::bind(self.address).await?);
         Ok(())
     }
@@ -82,7 +82,7 @@
     /// Spawns the task that accepts connections; aborting it closes all of them.
     fn listen(&self, listener: TcpListener) {
         let handler = Arc::clone(&self.handler);
-        *self.slot() = Some(tokio::spawn(async move {
+        *self.lock_listener() = Some(tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
                 // With Nagle's algorithm, small writes would wait 40 ms for the peer's delayed ACK.
@@ -94,7 +94,7 @@
         }));
     }
 
-    fn slot(&self) -> std::sync::MutexGuard<'_, Option<JoinHandle<()>>> {
+    fn lock_listener(&self) -> std::sync::MutexGuard<'_, Option<JoinHandle<()>>> {
         self.listener.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -110,7 +110,7 @@
 
 /// Handles the requests of one connection in order, until it closes or one fails.
 async fn serve<H: Handler>(handler: Arc<H>, mut connection: Connection) -> io::Result<()> {
-    while let Some(request) = connection.read().await? {
+    while let Some(request) = connection.read_request().await? {
         handler.handle(request, &mut connection).await?;
     }
     Ok(())
--- a/crates/testing/src/platform/objects.rs
+++ b/crates/testing/src/platform/objects.rs
@@ -16,9 +16,9 @@
     /// Refuses every request with 503.
     Down,
     /// Performs writes but responds with 504, as if the response was lost.
-    LoseAnswers,
+    DropResponses,
     /// Never responds to watches; other requests succeed.
-    SilentWatch,
+    UnansweredWatch,
     /// Serves reads from a snapshot taken when the fault was set.
     LaggingReads,
     /// Delays every request.
@@ -47,13 +47,13 @@
 pub struct Objects {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
-    calls: AtomicU64,
+    request_count: AtomicU64,
 }
 
 #[derive(Debug, Default)]
 struct State {
     objects: BTreeMap<String, Versioned>,
-    lagging: BTreeMap<String, Versioned>,
+    snapshot: BTreeMap<String, Versioned>,
     vms: Vec<VmRow>,
     fault: Fault,
 }
@@ -63,7 +63,7 @@
         Self {
             state: Mutex::default(),
             changed: watch::channel(0).0,
-            calls: AtomicU64::new(0),
+            request_count: AtomicU64::new(0),
         }
     }
 }
@@ -74,7 +74,7 @@
     pub fn set_fault(&self, fault: Fault) {
         let mut state = self.lock();
         state.fault = fault;
-        state.lagging = state.objects.clone();
+        state.snapshot = state.objects.clone();
         drop(state);
         self.notify();
     }
@@ -106,23 +106,23 @@
     }
 
     /// Returns the number of requests received.
-    pub fn calls(&self) -> u64 {
-        self.calls.load(Ordering::Relaxed)
+    pub fn request_count(&self) -> u64 {
+        self.request_count.load(Ordering::Relaxed)
     }
 }
 
 /// # Requests
 impl Objects {
     /// Adds one to the number of requests received.
-    pub(super) fn count(&self) {
-        self.calls.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn record_request(&self) {
+        self.request_count.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Reads an object, from the snapshot under [`Fault::LaggingReads`].
     pub(super) fn get(&self, key: &str) -> Option<Versioned> {
         let state = self.lock();
         let objects = match state.fault {
-            Fault::LaggingReads => &state.lagging,
+            Fault::LaggingReads => &state.snapshot,
             _ => &state.objects,
         };
         objects.get(key).cloned()
--- a/crates/testing/src/platform/routes.rs
+++ b/crates/testing/src/platform/routes.rs
@@ -56,8 +56,8 @@
 }
 
 /// Counts a request and applies the faults that precede its handling.
-async fn enter(objects: &Objects) -> Result<(), Status> {
-    objects.count();
+async fn begin_request(objects: &Objects) -> Result<(), Status> {
+    objects.record_request();
     match objects.fault() {
         Fault::Down => Err(Status::ServiceUnavailable),
         Fault::Slow { wait_ms } => {
@@ -75,12 +75,12 @@
     wait_ms: Option<u64>,
     objects: &State<Arc<Objects>>,
 ) -> Result<ObjectBody, Status> {
-    enter(objects).await?;
+    begin_request(objects).await?;
     let key = key.to_string_lossy();
     let Some(after) = after else {
         return objects.get(&key).map(Into::into).ok_or(Status::NotFound);
     };
-    if objects.fault() == Fault::SilentWatch {
+    if objects.fault() == Fault::UnansweredWatch {
         std::future::pending::<()>().await;
     }
     let wait = Duration::from_millis(wait_ms.unwrap_or(0));
@@ -109,14 +109,14 @@
     body: Data<'_>,
     objects: &State<Arc<Objects>>,
 ) -> Result<(Status, Json<Value>), Status> {
-    enter(objects).await?;
+    begin_request(objects).await?;
     let value = body.open(MAX_VALUE_BYTES.bytes()).into_bytes().await;
     let value = value.map_err(|_| Status::BadRequest)?;
     if !value.is_complete() {
         return Err(Status::PayloadTooLarge);
     }
     let written = objects.put(&key.to_string_lossy(), value.into_inner(), expected.0);
-    if objects.fault() == Fault::LoseAnswers {
+    if objects.fault() == Fault::DropResponses {
         return Err(Status::GatewayTimeout);
     }
     Ok(match written {
@@ -130,7 +130,7 @@
     prefix: &str,
     objects: &State<Arc<Objects>>,
 ) -> Result<Json<Vec<Value>>, Status> {
-    enter(objects).await?;
+    begin_request(objects).await?;
     let entries = objects.with_prefix(prefix).into_iter();
     Ok(Json(
         entries
@@ -141,6 +141,6 @@
 
 #[get("/vms")]
 async fn list_vms(objects: &State<Arc<Objects>>) -> Result<Json<Vec<VmRow>>, Status> {
-    enter(objects).await?;
+    begin_request(objects).await?;
     Ok(Json(objects.vms()))
 }
